--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -168,7 +168,7 @@
 // nextTrial returns when the next trial may begin. The trials of instances are spread evenly over time, and none is made
 // soon after the limit was named: instances that are restarted again and again would make one each time.
 func (r *Record) nextTrial(now time.Time) time.Time {
-	phase := float64(instance.Mix(xxhash.Sum64String(r.self)^xxhash.Sum64String(r.server))>>11) / (1 << 53)
+	phase := float64(instance.MixHash(xxhash.Sum64String(r.self)^xxhash.Sum64String(r.server))>>11) / (1 << 53)
 	since := now.Sub(r.namedAt) - time.Duration((0.5+phase)*float64(r.trialEvery))
 	if since < 0 {
 		return now.Add(-since)
--- a/block/block.go
+++ b/block/block.go
@@ -28,8 +28,8 @@
 	FailureDomain string       `json:"failure-domain"`
 }
 
-// Place is where a client's block belongs.
-type Place struct {
+// Location is where a client's block belongs.
+type Location struct {
 	// Block is the prefix that the client is in.
 	Block netip.Prefix
 	// Home is the block's home failure domain, or "" if the table does not say.
@@ -89,9 +89,9 @@
 }
 
 // Find returns the place of a client; it allocates nothing.
-func (t *Table) Find(client netip.Addr) Place {
+func (t *Table) Find(client netip.Addr) Location {
 	if !client.IsValid() {
-		return Place{}
+		return Location{}
 	}
 	client = client.Unmap()
 	position, found := slices.BinarySearchFunc(t.starts, client, netip.Addr.Compare)
@@ -108,15 +108,15 @@
 	}
 	prefix, err := client.Prefix(bits)
 	if err != nil {
-		return Place{}
+		return Location{}
 	}
 	return locate(prefix, "")
 }
 
-func locate(prefix netip.Prefix, home string) Place {
+func locate(prefix netip.Prefix, home string) Location {
 	raw := prefix.Addr().As16()
 	sum := xxhash.Sum64(raw[:])
-	return Place{
+	return Location{
 		Block:  prefix,
 		Home:   home,
 		Bucket: int(sum>>bucketShift) % lovageyard.Buckets,
--- a/block/block_test.go
+++ b/block/block_test.go
@@ -33,7 +33,7 @@
 		})
 	}
 	c := qt.New(t)
-	c.Assert(table.Find(netip.Addr{}) == Place{}, qt.IsTrue)
+	c.Assert(table.Find(netip.Addr{}) == Location{}, qt.IsTrue)
 	allocations := testing.AllocsPerRun(100, func() { table.Find(netip.MustParseAddr("192.0.2.7")) })
 	c.Assert(allocations, qt.Equals, 0.0)
 }
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -105,13 +105,13 @@
 		Directory: instance.NewDirectory([]lovageyard.EntryInstance{far, near}),
 	}
 	for _, k := range classes {
-		gate := move.NewGate(k.Target.Cap, 100)
-		r.snapshot.Works = append(r.snapshot.Works, route.Work{
-			Class:  k,
-			Gate:   gate,
-			Forced: gate,
-			Budget: server.NewBudget(),
-			Sites:  []route.Site{{Name: "near", Pool: r.pool, Allowance: grant.NewAllowance(0, now), Local: true}},
+		gate := move.NewLimiter(k.Target.Cap, 100)
+		r.snapshot.ClassRoutes = append(r.snapshot.ClassRoutes, route.ClassRoute{
+			Class:           k,
+			Limiter:         gate,
+			FailoverLimiter: gate,
+			Budget:          server.NewBudget(),
+			Sites:           []route.Site{{Name: "near", Pool: r.pool, Allowance: grant.NewAllowance(0, now), Local: true}},
 		})
 	}
 	client := link.New(link.OwnHeaders{}, timer.Clock{}, nil)
--- a/caller/forward.go
+++ b/caller/forward.go
@@ -38,9 +38,9 @@
 	handler  *Handler
 	writer   http.ResponseWriter
 	request  *http.Request
-	work     *route.Work
+	work     *route.ClassRoute
 	body     *requestBody
-	place    block.Place
+	place    block.Location
 	home     string
 	deadline time.Time
 	began    time.Time
@@ -72,8 +72,8 @@
 		deadline: began.Add(limit),
 		began:    began,
 	}
-	x.place, x.home = s.Place(clientOf(r))
-	work.Count(x.place, x.home)
+	x.place, x.home = s.Locate(clientOf(r))
+	work.CountRequest(x.place, x.home)
 	x.run()
 }
 
@@ -159,7 +159,7 @@
 	now := x.handler.timer.Now()
 	previous := x.slot.Server.Name
 	x.slot = server.Result{}
-	x.choice = x.work.Choose(x.place, x.home, now)
+	x.choice = x.work.ChooseSite(x.place, x.home, now)
 	if x.choice.Err != nil {
 		return &attemptError{RequestError: x.choice.Err, status: http.StatusServiceUnavailable, retryAfter: x.choice.RetryAfter, refused: true}
 	}
--- a/catalog/faulty.go
+++ b/catalog/faulty.go
@@ -44,7 +44,7 @@
 	return true
 }
 
-// PassedOver returns the number of entries of a table that name nobody to use at present.
-func (s *State) PassedOver(table string) int {
+// InvalidRowCount returns the number of entries of a table that name nobody to use at present.
+func (s *State) InvalidRowCount(table string) int {
 	return len(s.faulty[table])
 }
--- a/catalog/life_test.go
+++ b/catalog/life_test.go
@@ -86,7 +86,7 @@
 	// It is told once for each version, and passed on to peers.
 	_, faults = s.ApplyChanges(lovageyard.TableServers, changes(10, 12, garbage("a", 11)), later)
 	c.Assert(faults, qt.HasLen, 0)
-	c.Assert(s.Since(lovageyard.TableServers, 10).Rows, qt.HasLen, 2)
+	c.Assert(s.ChangesSince(lovageyard.TableServers, 10).Rows, qt.HasLen, 2)
 	// An older good entry does not come back, a newer one does, and its caches are what they were.
 	s.ApplyList(lovageyard.TableServers, changes(0, 12, serverRow(c, "a", 3, lovageyard.StateLive), lifeRow(c, "b", 12, 1, lovageyard.StateLive)), later)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
@@ -99,7 +99,7 @@
 func TestEntryOfAnotherWriterIsNotKeptThroughAnOutage(t *testing.T) {
 	c := qt.New(t)
 	s := known(c, start)
-	s.Lost(lovageyard.TableServers)
+	s.MarkUnreadable(lovageyard.TableServers)
 	s.ApplyList(lovageyard.TableServers, changes(0, 12, garbage("a", 11), serverRow(c, "b", 4, lovageyard.StateLive)), start)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
 }
--- a/catalog/older.go
+++ b/catalog/older.go
@@ -31,9 +31,9 @@
 	s.older[r.Table][r.Key] = kept
 }
 
-// Base returns the value of a row that a peer holds which knows its table up to a version, if
+// DeltaBase returns the value of a row that a peer holds which knows its table up to a version, if
 // that is an older one that is still kept.
-func (s *State) Base(r lovageyard.Row, known int64) (lovageyard.Row, bool) {
+func (s *State) DeltaBase(r lovageyard.Row, known int64) (lovageyard.Row, bool) {
 	kept := s.older[r.Table][r.Key]
 	for n := len(kept) - 1; n >= 0; n-- {
 		if kept[n].Version <= known && kept[n].Version < r.Version {
@@ -43,8 +43,8 @@
 	return lovageyard.Row{}, false
 }
 
-// Value returns the value that a row had at a version, if it is the present one or still kept.
-func (s *State) Value(table, key string, version int64) ([]byte, bool) {
+// ValueAt returns the value that a row had at a version, if it is the present one or still kept.
+func (s *State) ValueAt(table, key string, version int64) ([]byte, bool) {
 	if r, found := s.rows[table][key]; found && r.Version == version {
 		return r.Value, true
 	}
--- a/catalog/older_test.go
+++ b/catalog/older_test.go
@@ -34,25 +34,25 @@
 		known int64
 		want  *lovageyard.Row
 	}{{5, nil}, {10, &first}, {19, &first}, {20, &second}, {29, &second}, {30, &second}} {
-		base, found := s.Base(last, test.known)
+		base, found := s.DeltaBase(last, test.known)
 		c.Assert(found, qt.Equals, test.want != nil, qt.Commentf("known to %d", test.known))
 		if found {
 			c.Assert(base, qt.DeepEquals, *test.want)
 		}
 	}
-	value, found := s.Value(lovageyard.TableOrders, "config", 10)
+	value, found := s.ValueAt(lovageyard.TableOrders, "config", 10)
 	c.Assert(found, qt.IsTrue)
 	c.Assert(value, qt.DeepEquals, first.Value)
-	_, found = s.Value(lovageyard.TableOrders, "config", 11)
+	_, found = s.ValueAt(lovageyard.TableOrders, "config", 11)
 	c.Assert(found, qt.IsFalse)
 
 	// What is kept is bounded.
 	for version := int64(40); version < 80; version += 10 {
 		last = put(version, 5<<20)
 	}
-	_, found = s.Base(last, 50)
+	_, found = s.DeltaBase(last, 50)
 	c.Assert(found, qt.IsFalse)
-	base, found := s.Base(last, 60)
+	base, found := s.DeltaBase(last, 60)
 	c.Assert(found, qt.IsTrue)
 	c.Assert(base.Version, qt.Equals, int64(60))
 }
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -56,9 +56,9 @@
 	unusable bool
 }
 
-// Fault is a row that could not be decoded. An entry of a server or of an instance then names
+// InvalidRow is a row that could not be decoded. An entry of a server or of an instance then names
 // none; the last good configuration and drains stay in force.
-type Fault struct {
+type InvalidRow struct {
 	Row lovageyard.Row
 	Err error
 }
@@ -91,9 +91,9 @@
 	return s.cursors[table]
 }
 
-// Newest returns the version of the last change of a table that is known, or 0. Whoever knows the table up to
+// LastChange returns the version of the last change of a table that is known, or 0. Whoever knows the table up to
 // it lacks nothing that is known here: cursors also grow with the changes of other tables.
-func (s *State) Newest(table string) int64 {
+func (s *State) LastChange(table string) int64 {
 	return s.newest[table]
 }
 
@@ -104,7 +104,7 @@
 }
 
 // ApplyList takes in a whole table; rows that it lacks are gone.
-func (s *State) ApplyList(table string, list lovageyard.Changes, now time.Time) []Fault {
+func (s *State) ApplyList(table string, list lovageyard.Changes, now time.Time) []InvalidRow {
 	if list.To < s.cursors[table] {
 		return nil
 	}
@@ -127,7 +127,7 @@
 
 // ApplyChanges takes in the changes of a table, or all of it if they begin at version 0;
 // it reports false if they would leave a gap.
-func (s *State) ApplyChanges(table string, c lovageyard.Changes, now time.Time) (bool, []Fault) {
+func (s *State) ApplyChanges(table string, c lovageyard.Changes, now time.Time) (bool, []InvalidRow) {
 	if c.After > s.cursors[table] {
 		return false, nil
 	}
@@ -139,39 +139,39 @@
 	return true, faults
 }
 
-// Lost notes that a table can't be read; what is removed by the next changes may only
+// MarkUnreadable notes that a table can't be read; what is removed by the next changes may only
 // have lapsed.
-func (s *State) Lost(table string) {
+func (s *State) MarkUnreadable(table string) {
 	if table == lovageyard.TableServers {
 		s.outage = true
 	}
 }
 
-// Regained notes that a table has been read again after an outage, once the changes that
+// MarkReadable notes that a table has been read again after an outage, once the changes that
 // were missed are applied.
-func (s *State) Regained(table string) {
+func (s *State) MarkReadable(table string) {
 	if table == lovageyard.TableServers {
 		s.outage = false
 	}
 }
 
-// Knows says whether a row, or a newer one of its key, was taken in before.
-func (s *State) Knows(r lovageyard.Row) bool {
+// HasRow says whether a row, or a newer one of its key, was taken in before.
+func (s *State) HasRow(r lovageyard.Row) bool {
 	known, found := s.rows[r.Table][r.Key]
 	return found && known.Version >= r.Version
 }
 
-func (s *State) applyRows(rows []lovageyard.Row, now time.Time) []Fault {
-	var faults []Fault
+func (s *State) applyRows(rows []lovageyard.Row, now time.Time) []InvalidRow {
+	var faults []InvalidRow
 	for _, r := range rows {
-		if s.Knows(r) {
+		if s.HasRow(r) {
 			continue
 		}
 		s.newest[r.Table] = max(s.newest[r.Table], r.Version)
 		record, err := s.decode(r)
 		if err != nil {
 			if s.passOver(r) {
-				faults = append(faults, Fault{Row: r, Err: err})
+				faults = append(faults, InvalidRow{Row: r, Err: err})
 			}
 			continue
 		}
@@ -280,9 +280,9 @@
 	return changed
 }
 
-// Since returns the changes of a table after a version, for a peer that lags, or the whole
+// ChangesSince returns the changes of a table after a version, for a peer that lags, or the whole
 // table, as changes after version 0, if removals since that version may not be known.
-func (s *State) Since(table string, after int64) lovageyard.Changes {
+func (s *State) ChangesSince(table string, after int64) lovageyard.Changes {
 	whole := after < s.floors[table]
 	c := lovageyard.Changes{After: after, To: s.cursors[table]}
 	if whole {
--- a/catalog/state_test.go
+++ b/catalog/state_test.go
@@ -168,9 +168,9 @@
 func TestEntryThatLapsedInAnOutageIsKeptForAWhile(t *testing.T) {
 	c := qt.New(t)
 	s := known(c, start)
-	s.Lost(lovageyard.TableServers)
+	s.MarkUnreadable(lovageyard.TableServers)
 	s.ApplyList(lovageyard.TableServers, changes(0, 20), start)
-	s.Regained(lovageyard.TableServers)
+	s.MarkReadable(lovageyard.TableServers)
 	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
 
 	// One comes back, the other is gone after the wait.
@@ -221,7 +221,7 @@
 	fresh := catalog.NewState(jsonDecoder{})
 	fresh.ApplyList(lovageyard.TableServers, changes(0, 20, serverRow(c, "b", 4, lovageyard.StateLive)), start)
 	for _, table := range []string{lovageyard.TableServers} {
-		applied, _ := peer.ApplyChanges(table, fresh.Since(table, peer.Cursor(table)), start)
+		applied, _ := peer.ApplyChanges(table, fresh.ChangesSince(table, peer.Cursor(table)), start)
 		c.Assert(applied, qt.IsTrue)
 	}
 	c.Assert(names(peer), qt.DeepEquals, []string{"b"})
@@ -232,7 +232,7 @@
 	c := qt.New(t)
 	ahead, behind := known(c, start), known(c, start)
 	ahead.ApplyChanges(lovageyard.TableServers, changes(10, 11, removed(lovageyard.TableServers, "a", 11)), start)
-	delta := ahead.Since(lovageyard.TableServers, behind.Cursor(lovageyard.TableServers))
+	delta := ahead.ChangesSince(lovageyard.TableServers, behind.Cursor(lovageyard.TableServers))
 	c.Assert(delta.Rows, qt.HasLen, 1)
 	behind.ApplyChanges(lovageyard.TableServers, delta, start)
 	c.Assert(names(behind), qt.DeepEquals, []string{"b"})
--- a/catalog/view.go
+++ b/catalog/view.go
@@ -14,8 +14,8 @@
 	// Ready says that this instance can serve: it knows a configuration and the servers.
 	Ready bool
 	// Leaving says that this instance is about to end, and EndsAt when.
-	Leaving bool
-	EndsAt  time.Time
-	// Closing says that it takes no new requests any more.
-	Closing bool
+	Leaving    bool
+	ShutdownAt time.Time
+	// Refusing says that it takes no new requests any more.
+	Refusing bool
 }
--- a/control/control.go
+++ b/control/control.go
@@ -138,7 +138,7 @@
 func (c *Control) Start() {
 	ticks := c.settings.Timer.Subscribe(tickEvery)
 	steps := c.settings.Timer.Subscribe(stepEvery)
-	c.inbox.Own(func() { c.run(ticks, steps) })
+	c.inbox.Start(func() { c.run(ticks, steps) })
 }
 
 // Close ends the loop and waits for it and for all calls that it began.
@@ -187,7 +187,7 @@
 	c.self.Heartbeat++
 	c.self.Version = c.config.Version()
 	c.self.Steps = c.steps()
-	c.members.Hear(c.self, now)
+	c.members.Observe(c.self, now)
 	if c.members.Tick(now) {
 		c.dirty = true
 	}
@@ -236,7 +236,7 @@
 	c.self.State = lovageyard.StateLeaving
 	c.self.Heartbeat++
 	now := c.settings.Timer.Now()
-	c.members.Hear(c.self, now)
+	c.members.Observe(c.self, now)
 	c.dirty = true
 	c.exchangeAll(now)
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -168,7 +168,7 @@
 		Logger: logger, Metrics: metrics.NewRegistry(), KeepFor: time.Second, Headroom: 0.2,
 		SeedPeers: []string{"a1-1", "a1-2"},
 		Pool:      server.Settings{Mode: server.Shared, QueuePerSlot: 1},
-		Latencies: placement.Latencies{SameRegion: time.Millisecond, Else: 10 * time.Millisecond},
+		Latencies: placement.Latencies{SameRegion: time.Millisecond, OtherRegion: 10 * time.Millisecond},
 		LeaseSpan: 6 * time.Second, Seed: uint64(life),
 	})
 	y.mu.Lock()
@@ -446,8 +446,8 @@
 	y.put("lookups", 0.5)
 	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
 	for _, name := range everyone {
-		y.controls[name].Snapshot().Work("lookups").Sites[2].Pool.Suspect("b1-desk")
-		y.controls[name].Snapshot().Work("lookups").Sites[0].Pool.Suspect(name[:2] + "-desk")
+		y.controls[name].Snapshot().ClassRoute("lookups").Sites[2].Pool.Suspect("b1-desk")
+		y.controls[name].Snapshot().ClassRoute("lookups").Sites[0].Pool.Suspect(name[:2] + "-desk")
 	}
 	y.until("probes lift the suspicion", func() bool {
 		for _, name := range everyone {
@@ -469,14 +469,14 @@
 	y.put("lookups", 0.5)
 	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
 	c := y.controls["a1-1"]
-	place, home := c.Snapshot().Place(netip.MustParseAddr("192.0.2.1"))
+	place, home := c.Snapshot().Locate(netip.MustParseAddr("192.0.2.1"))
 	const rounds, perRound = 150, 20
 	forced := 0
 	for n := range rounds {
-		work := c.Snapshot().Work("lookups")
+		work := c.Snapshot().ClassRoute("lookups")
 		for range perRound {
-			work.Count(place, home)
-			if n >= rounds/2 && work.Gate.TakeForced() {
+			work.CountRequest(place, home)
+			if n >= rounds/2 && work.Limiter.AllowFailover() {
 				forced++
 			}
 		}
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -37,7 +37,7 @@
 	for _, m := range c.members.Neighbours() {
 		c.exchangeWith(m.PeerAddress)
 	}
-	for range instance.Relays {
+	for range instance.RelaysPerDomain {
 		c.exchangeWith(c.elsewhere())
 	}
 }
@@ -101,7 +101,7 @@
 
 func (c *Control) wantsApplied() bool {
 	for _, w := range c.works {
-		if !w.stepper.Adopted() {
+		if !w.stepper.Initialized() {
 			return true
 		}
 	}
@@ -148,8 +148,8 @@
 		c.hearChanges(m.reply.GetChanges())
 	}
 	for _, a := range m.reply.GetApplied() {
-		if w := c.works[a.GetClass()]; w != nil && !w.stepper.Adopted() {
-			w.stepper.Adopt(peer.ToApplied(a), now)
+		if w := c.works[a.GetClass()]; w != nil && !w.stepper.Initialized() {
+			w.stepper.Initialize(peer.ToPlacement(a), now)
 			c.dirty = true
 		}
 	}
@@ -208,7 +208,7 @@
 	if m.Name == "" || m.Name == c.self.Name {
 		return
 	}
-	if c.members.Hear(m, now) && m.State != lovageyard.StateLive {
+	if c.members.Observe(m, now) && m.State != lovageyard.StateLive {
 		c.dirty = true
 	}
 }
@@ -262,13 +262,13 @@
 func (c *Control) wireApplied() []*wire.Applied {
 	var out []*wire.Applied
 	for name, w := range c.works {
-		if w.stepper.Adopted() {
-			out = append(out, peer.FromApplied(name, appliedOf(w)))
+		if w.stepper.Initialized() {
+			out = append(out, peer.FromPlacement(name, appliedOf(w)))
 		}
 	}
 	return out
 }
 
-func appliedOf(w *work) move.Applied {
+func appliedOf(w *work) move.Placement {
 	return w.stepper.Applied()
 }
--- a/control/grants.go
+++ b/control/grants.go
@@ -47,7 +47,7 @@
 	s := grant.Spare{
 		Service: key.service,
 		Site:    key.site,
-		Known:   v.age(key) < placement.FreshFor && service > 0 && v.alive(key, p),
+		Known:   v.age(key) < placement.FreshAge && service > 0 && v.alive(key, p),
 	}
 	if service > 0 {
 		s.Capacity = float64(v.slots(key, p)) / service * (1 - c.settings.Headroom)
--- a/control/planner.go
+++ b/control/planner.go
@@ -42,7 +42,7 @@
 			names = append(names, relays[0])
 		}
 	}
-	return instance.Choose(names, service, candidates)
+	return instance.Rendezvous(names, service, candidates)
 }
 
 // services returns the services that classes name.
@@ -195,16 +195,16 @@
 		inputs = append(inputs, plannerInput{
 			version: row.Version,
 			Input: placement.Input{
-				Now:       view.now,
-				Class:     k,
-				Orders:    c.config.Orders(),
-				Sites:     view.sites(k),
-				Homes:     view.homes(k.Name),
-				Latencies: c.settings.Latencies,
-				Headroom:  c.settings.Headroom,
-				Current:   w.plan,
-				Reached:   reached,
-				Left:      left,
+				Now:         view.now,
+				Class:       k,
+				Orders:      c.config.Orders(),
+				Sites:       view.sites(k),
+				Homes:       view.homes(k.Name),
+				Latencies:   c.settings.Latencies,
+				Headroom:    c.settings.Headroom,
+				Current:     w.plan,
+				AppliedStep: reached,
+				Remaining:   left,
 			},
 		})
 	}
@@ -217,7 +217,7 @@
 	step = math.MaxInt64
 	now := c.settings.Timer.Now()
 	for _, r := range c.reports {
-		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAfter {
+		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAge {
 			continue
 		}
 		for _, s := range r.report.GetSettled() {
@@ -243,17 +243,17 @@
 		if w == nil || w.plan.Step == 0 {
 			continue
 		}
-		sum := instance.Step{Class: k.Name, Settled: w.plan.Step}
+		sum := instance.Step{Class: k.Name, Completed: w.plan.Step}
 		version := c.planVersion(k.Name)
 		for _, m := range members {
 			s, told := stepOf(m, k.Name)
 			if !told && m.Version < version {
-				s.Settled = w.plan.Step - 1
+				s.Completed = w.plan.Step - 1
 				told = true
 			}
 			if told {
-				sum.Settled = min(sum.Settled, s.Settled)
-				sum.Left = max(sum.Left, s.Left)
+				sum.Completed = min(sum.Completed, s.Completed)
+				sum.Remaining = max(sum.Remaining, s.Remaining)
 			}
 		}
 		steps = append(steps, sum)
--- a/control/platform.go
+++ b/control/platform.go
@@ -113,7 +113,7 @@
 			return blocksRead{err: err}
 		}
 		table, err := block.Decode(object.Body)
-		return blocksRead{table: table, zipped: peer.Zip(object.Body), version: object.Version, err: err}
+		return blocksRead{table: table, zipped: peer.Compress(object.Body), version: object.Version, err: err}
 	})
 }
 
@@ -143,7 +143,7 @@
 // hearBlocks takes in the table of blocks that a peer passes on.
 func (c *Control) hearBlocks(zipped []byte, version int64) {
 	c.inbox.Call("decode blocks", func(context.Context) message {
-		body, err := peer.Unzip(zipped)
+		body, err := peer.Decompress(zipped)
 		if err != nil {
 			return blocksRead{err: err}
 		}
--- a/control/pools.go
+++ b/control/pools.go
@@ -38,7 +38,7 @@
 // no new work; an empty list of servers is taken for a fault and changes nothing.
 func (c *Control) setListing(l lovageyard.Listing, readAt time.Time) {
 	now := c.settings.Timer.Now()
-	c.members.List(l.EntryInstances, now)
+	c.members.ApplyList(l.EntryInstances, now)
 	c.listedAt = readAt
 	c.dirty = true
 	if len(l.BackendServers) == 0 {
--- a/control/publish.go
+++ b/control/publish.go
@@ -33,21 +33,21 @@
 		if w == nil {
 			continue
 		}
-		s.Works = append(s.Works, c.routeWork(w))
+		s.ClassRoutes = append(s.ClassRoutes, c.routeWork(w))
 	}
 	c.snapshot.Store(s)
 }
 
-func (c *Control) routeWork(w *work) route.Work {
-	r := route.Work{
-		Class:  w.class,
-		Step:   w.plan.Step,
-		Gate:   w.stepper.Gate(),
-		Forced: w.forced,
-		Budget: w.budget,
-		Counts: w.counts,
+func (c *Control) routeWork(w *work) route.ClassRoute {
+	r := route.ClassRoute{
+		Class:           w.class,
+		Step:            w.plan.Step,
+		Limiter:         w.stepper.Limiter(),
+		FailoverLimiter: w.forced,
+		Budget:          w.budget,
+		HomeCounts:      w.counts,
 	}
-	if w.stepper.Adopted() {
+	if w.stepper.Initialized() {
 		r.Homes = w.published()
 	}
 	for _, k := range c.sortedPools() {
--- a/control/status.go
+++ b/control/status.go
@@ -62,7 +62,7 @@
 	if !c.listedAt.IsZero() {
 		s.ListAgeMs = now.Sub(c.listedAt).Milliseconds()
 	}
-	for _, m := range c.members.Known() {
+	for _, m := range c.members.Members() {
 		s.Instances = append(s.Instances, operator.InstanceStatus{EntryInstance: m.EntryInstance, Version: m.Version})
 	}
 	for _, k := range c.index.All() {
@@ -99,7 +99,7 @@
 }
 
 func (c *Control) moveStatus(w *work) operator.MoveStatus {
-	settled, remaining := w.stepper.Settled(w.demand())
+	settled, remaining := w.stepper.Progress(w.demand())
 	m := operator.MoveStatus{
 		Class:    w.class.Name,
 		Step:     w.plan.Step,
@@ -117,7 +117,7 @@
 
 func (c *Control) explain(class string, client netip.Addr) operator.Explanation {
 	snapshot := c.Snapshot()
-	place, home := snapshot.Place(client)
+	place, home := snapshot.Locate(client)
 	e := operator.Explanation{
 		Class:  class,
 		Client: client.String(),
@@ -133,7 +133,7 @@
 	e.PlanStep = w.plan.Step
 	e.PlannedSite = w.plan.SiteOf(home, place.Bucket)
 	e.Reason = "placement in force here"
-	if !w.stepper.Adopted() {
+	if !w.stepper.Initialized() {
 		e.Reason = "no placement is in force here yet; requests go to the own failure domain"
 		return e
 	}
@@ -145,8 +145,8 @@
 	}
 	cell := cells[place.Bucket]
 	e.Site = cell.Site
-	e.MovingTo = cell.Next
-	e.Moved = cell.Settled
+	e.MovingTo = cell.Target
+	e.Moved = cell.Shifted
 	e.Moving = cell.Moving
 	if w.plan.Move != nil {
 		e.Move = w.plan.Move.Reason
--- a/control/view.go
+++ b/control/view.go
@@ -33,7 +33,7 @@
 		seen:    make(map[poolKey][]siteSeen),
 	}
 	for _, r := range c.reports {
-		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAfter {
+		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAge {
 			continue
 		}
 		v.add(r)
@@ -170,7 +170,7 @@
 }
 
 func (v *view) age(k poolKey) time.Duration {
-	age := placement.StaleAfter
+	age := placement.StaleAge
 	for _, s := range v.seen[k] {
 		age = min(age, v.now.Sub(s.at))
 	}
--- a/control/works.go
+++ b/control/works.go
@@ -22,9 +22,9 @@
 	plan     lovageyard.ClassPlan
 	planSeen time.Time
 	stepper  *move.Stepper
-	forced   *move.Gate
+	forced   *move.Limiter
 	budget   *server.Budget
-	counts   []*route.HomeCount
+	counts   []*route.HomeCounter
 	rates    []*homeRate
 	measured time.Time
 	// rested is the plan step, and restedHomes the number of its homes, that were found applied in full.
@@ -85,9 +85,9 @@
 	extra := k.Target.EffectiveFailoverCap() - k.Target.Cap
 	switch {
 	case extra <= 0:
-		w.forced = w.stepper.Gate()
-	case w.forced == nil || w.forced == w.stepper.Gate():
-		w.forced = move.NewGate(extra, 0)
+		w.forced = w.stepper.Limiter()
+	case w.forced == nil || w.forced == w.stepper.Limiter():
+		w.forced = move.NewLimiter(extra, 0)
 	}
 }
 
@@ -98,13 +98,13 @@
 }
 
 func (w *work) addHome(failureDomain string) {
-	known := slices.ContainsFunc(w.counts, func(c *route.HomeCount) bool {
+	known := slices.ContainsFunc(w.counts, func(c *route.HomeCounter) bool {
 		return c.FailureDomain == failureDomain
 	})
 	if known {
 		return
 	}
-	w.counts = append(slices.Clone(w.counts), &route.HomeCount{FailureDomain: failureDomain})
+	w.counts = append(slices.Clone(w.counts), &route.HomeCounter{FailureDomain: failureDomain})
 	w.rates = append(w.rates, &homeRate{failureDomain: failureDomain})
 }
 
@@ -131,9 +131,9 @@
 func (w *work) setGates() {
 	target := w.class.Target
 	total := w.demand().Total
-	w.stepper.Gate().Set(target.Cap, total)
-	if w.forced != w.stepper.Gate() {
-		w.forced.Set(target.EffectiveFailoverCap()-target.Cap, total)
+	w.stepper.Limiter().SetCap(target.Cap, total)
+	if w.forced != w.stepper.Limiter() {
+		w.forced.SetCap(target.EffectiveFailoverCap()-target.Cap, total)
 	}
 }
 
@@ -173,7 +173,7 @@
 func (c *Control) stepWorks(now time.Time) {
 	var neighbours []instance.Member
 	for name, w := range c.works {
-		if w.plan.Step == 0 || w.stepper.Adopted() && w.idle(now) {
+		if w.plan.Step == 0 || w.stepper.Initialized() && w.idle(now) {
 			continue
 		}
 		if neighbours == nil {
@@ -197,7 +197,7 @@
 	if w.rested == w.plan.Step && w.restedHomes == len(w.plan.Homes) {
 		return true
 	}
-	if settled, _ := w.stepper.Settled(move.Demand{}); settled == w.plan.Step && w.stepper.Resting() {
+	if settled, _ := w.stepper.Progress(move.Demand{}); settled == w.plan.Step && w.stepper.Idle() {
 		w.rested = w.plan.Step
 		w.restedHomes = len(w.plan.Homes)
 	}
@@ -206,7 +206,7 @@
 
 // recordStep writes the decision on a step of a move to the log.
 func (c *Control) recordStep(w *work, d move.Demand) {
-	step, left := w.stepper.Settled(d)
+	step, left := w.stepper.Progress(d)
 	c.settings.Recorder.Record(lovageyard.Decision{
 		Kind:     "move",
 		Class:    w.class.Name,
@@ -218,19 +218,19 @@
 
 // adopt gives a class its first placement when no neighbour can tell what is applied.
 func (c *Control) adopt(w *work, neighbours []instance.Member, now time.Time) {
-	if w.stepper.Adopted() {
+	if w.stepper.Initialized() {
 		return
 	}
 	alone := len(neighbours) == 0 && now.Sub(w.planSeen) >= adoptPatience/3
 	if w.plan.Step == 1 || alone || now.Sub(w.planSeen) >= adoptPatience {
-		w.stepper.Adopt(move.FromPlan(w.plan), now)
+		w.stepper.Initialize(move.FromPlan(w.plan), now)
 		c.dirty = true
 	}
 }
 
 // begun returns the plan step that the class moves to, or 0 before the first placement.
 func (w *work) begun() int64 {
-	if !w.stepper.Adopted() {
+	if !w.stepper.Initialized() {
 		return 0
 	}
 	return w.plan.Step
@@ -242,7 +242,7 @@
 	version := c.planVersion(class)
 	for _, m := range neighbours {
 		begun, told := stepOf(m, class)
-		if told && begun.Begun > 0 && begun.Begun < step || !told && m.Version < version {
+		if told && begun.Started > 0 && begun.Started < step || !told && m.Version < version {
 			return false
 		}
 	}
@@ -272,11 +272,11 @@
 		if w == nil || w.plan.Step == 0 {
 			continue
 		}
-		settled, left := w.stepper.Settled(w.demand())
-		if settled == w.plan.Step && w.stepper.Resting() {
+		settled, left := w.stepper.Progress(w.demand())
+		if settled == w.plan.Step && w.stepper.Idle() {
 			continue
 		}
-		steps = append(steps, instance.Step{Class: k.Name, Begun: w.begun(), Settled: settled, Left: left})
+		steps = append(steps, instance.Step{Class: k.Name, Started: w.begun(), Completed: settled, Remaining: left})
 	}
 	return steps
 }
--- a/dispatch/cold.go
+++ b/dispatch/cold.go
@@ -47,7 +47,7 @@
 	if total >= count {
 		return total / count
 	}
-	if slices.Contains(instance.Choose(instances, server, total), self) {
+	if slices.Contains(instance.Rendezvous(instances, server, total), self) {
 		return 1
 	}
 	return 0
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -77,7 +77,7 @@
 
 // rankFor returns the server's place in the order of an object, the highest first.
 func (s *server) rankFor(object uint64) uint64 {
-	return instance.Mix(object ^ s.hash)
+	return instance.MixHash(object ^ s.hash)
 }
 
 // placeFor returns the server's place in the order of an object as a number from 0 to 1.
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -351,5 +351,5 @@
 	if key == "" {
 		return 0
 	}
-	return instance.Mix(xxhash.Sum64String(route.Name) ^ xxhash.Sum64String(key))
+	return instance.MixHash(xxhash.Sum64String(route.Name) ^ xxhash.Sum64String(key))
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -80,7 +80,7 @@
 
 func (s source) View() *catalog.View { return s.view }
 
-func (s source) KnowledgeAge() time.Duration {
+func (s source) ConfigurationAge() time.Duration {
 	if s.age == nil {
 		return 0
 	}
@@ -131,8 +131,8 @@
 // View returns the present view.
 func (y *yard) View() *catalog.View { return y.view }
 
-// KnowledgeAge returns the age that the test has set.
-func (y *yard) KnowledgeAge() time.Duration { return source{age: y.age}.KnowledgeAge() }
+// ConfigurationAge returns the age that the test has set.
+func (y *yard) ConfigurationAge() time.Duration { return source{age: y.age}.ConfigurationAge() }
 
 // source returns what the handler takes its view from.
 func (y *yard) source() entry.Source {
@@ -346,11 +346,11 @@
 func TestLeavingInstanceClosesConnectionsAndLaterRefuses(t *testing.T) {
 	y := newYard(t, good(200))
 	y.view.Leaving = true
-	y.view.EndsAt = time.Now().Add(time.Hour)
+	y.view.ShutdownAt = time.Now().Add(time.Hour)
 	response := y.ask(http.MethodGet, "/x/", "")
 	y.c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
 	y.c.Assert(response.Header.Get("Connection"), qt.Equals, "close")
-	y.view.Closing = true
+	y.view.Refusing = true
 	y.c.Assert(y.ask(http.MethodGet, "/x/", "").StatusCode, qt.Equals, http.StatusServiceUnavailable)
 }
 
@@ -378,13 +378,13 @@
 	y := newYard(t, good(200))
 	y.setRoute(lovageyard.Route{Name: "r", Host: "a.example", Prefix: "/x/", Timeout: 8 * time.Second, Attempts: 1})
 	y.view.Leaving = true
-	y.view.EndsAt = time.Now().Add(6 * time.Second)
+	y.view.ShutdownAt = time.Now().Add(6 * time.Second)
 	response := y.ask(http.MethodPost, "/x/", "b")
 	y.c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	y.c.Assert(response.Header.Get("Retry-After"), qt.Equals, "0.050")
 	y.c.Assert(response.Header.Get("Connection"), qt.Equals, "close")
 	y.c.Assert(y.sender.sent, qt.HasLen, 0)
-	y.view.EndsAt = time.Now().Add(20 * time.Second)
+	y.view.ShutdownAt = time.Now().Add(20 * time.Second)
 	y.c.Assert(y.ask(http.MethodPost, "/x/", "b").StatusCode, qt.Equals, http.StatusOK)
 }
 
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -27,8 +27,8 @@
 // Source gives the view in force.
 type Source interface {
 	View() *catalog.View
-	// KnowledgeAge returns how long ago the configuration in force was known to be the newest.
-	KnowledgeAge() time.Duration
+	// ConfigurationAge returns how long ago the configuration in force was known to be the newest.
+	ConfigurationAge() time.Duration
 }
 
 // Codec translates the headers of the wire.
@@ -136,7 +136,7 @@
 
 // serve checks the request and runs it.
 func (x *exchange) serve() {
-	if x.view.Closing || x.view.Configuration == nil {
+	if x.view.Refusing || x.view.Configuration == nil {
 		x.refuse(causeClosing, "this instance takes no requests", retrySoon, nil)
 		return
 	}
@@ -189,7 +189,7 @@
 // outlivesInstance says whether the request may last longer than this instance, which leaves. It
 // would be cut off while its server is at work; another instance takes it at once.
 func (x *exchange) outlivesInstance() bool {
-	return x.view.Leaving && x.end.After(x.view.EndsAt)
+	return x.view.Leaving && x.end.After(x.view.ShutdownAt)
 }
 
 // setDeadlines sets when the servers have to be done, which is the shorter of the client's
--- a/fleet/age.go
+++ b/fleet/age.go
@@ -17,7 +17,7 @@
 // hasNews says whether any of the rows is not known yet.
 func (c *Control) hasNews(rows []lovageyard.Row) bool {
 	for _, r := range rows {
-		if !c.state.Knows(r) {
+		if !c.state.HasRow(r) {
 			return true
 		}
 	}
--- a/fleet/confirm.go
+++ b/fleet/confirm.go
@@ -26,14 +26,14 @@
 	words []freshness.Word
 }
 
-// KnowledgeAge returns how long ago the configuration in force was known to be the newest.
-func (c *Control) KnowledgeAge() time.Duration {
+// ConfigurationAge returns how long ago the configuration in force was known to be the newest.
+func (c *Control) ConfigurationAge() time.Duration {
 	return c.freshness.Age(c.settings.Timer.Elapsed())
 }
 
 // mustConfirm says whether the age of the configuration matters.
 func (c *Control) mustConfirm() bool {
-	return c.settings.ConfirmWithin > 0 && !c.View().Accounts.IsEmpty()
+	return c.settings.MaxConfigurationAge > 0 && !c.View().Accounts.IsEmpty()
 }
 
 // behindShare is the part of the bound on the age of knowledge from which on look-ups name other instances, so
@@ -42,7 +42,7 @@
 
 // isBehind says whether this instance may not know the newest configuration.
 func (c *Control) isBehind() bool {
-	return c.mustConfirm() && float64(c.KnowledgeAge()) > behindShare*float64(c.settings.ConfirmWithin)
+	return c.mustConfirm() && float64(c.ConfigurationAge()) > behindShare*float64(c.settings.MaxConfigurationAge)
 }
 
 // noteRead notes an answer of the platform, of which the rows were taken in.
@@ -92,7 +92,7 @@
 		return nil
 	}
 	return &wire.Confirmation{
-		Version: c.state.Newest(lovageyard.TableOrders),
+		Version: c.state.LastChange(lovageyard.TableOrders),
 		AgeMs:   (age + time.Millisecond - 1).Milliseconds(),
 		HeldMs:  (now - arrivedAt).Milliseconds(),
 	}
--- a/fleet/confirm_test.go
+++ b/fleet/confirm_test.go
@@ -28,14 +28,14 @@
 func (g *group) startConfirming(name, address string, seeds ...string) *fleet.Control {
 	client := platform.NewStore(address, quiet())
 	s := g.settings(name, 1, client, client, seeds...)
-	s.ConfirmWithin = confirmWithin
+	s.MaxConfigurationAge = confirmWithin
 	return g.startWith(s)
 }
 
 // untilConfirmedSince waits until an instance's knowledge is younger than a moment.
 func (g *group) untilConfirmedSince(control *fleet.Control, since time.Time) {
 	g.c.Helper()
-	g.until("the configuration is confirmed", func() bool { return control.KnowledgeAge() < time.Since(since) })
+	g.until("the configuration is confirmed", func() bool { return control.ConfigurationAge() < time.Since(since) })
 }
 
 // The configuration is confirmed again and again, also at instances that hear of it from others only, while
@@ -67,7 +67,7 @@
 	g.untilConfirmedSince(second, time.Now())
 	g.store.SetTrouble(fake.Trouble{Status: 503})
 	for _, control := range []*fleet.Control{first, second} {
-		g.until("old knowledge", func() bool { return control.KnowledgeAge() > time.Second })
+		g.until("old knowledge", func() bool { return control.ConfigurationAge() > time.Second })
 	}
 	g.store.SetTrouble(fake.Trouble{})
 	back := time.Now()
@@ -84,7 +84,7 @@
 	g.startWith(func() fleet.Settings {
 		client := platform.NewStore("127.0.0.1:1", quiet())
 		s := g.settings("entry-1", 1, client, client, "entry-0:2")
-		s.ConfirmWithin = time.Nanosecond
+		s.MaxConfigurationAge = time.Nanosecond
 		return s
 	}())
 	defer g.stop("entry-0")
@@ -115,7 +115,7 @@
 	}())
 	defer g.stop("entry-1")
 	g.until("ready from peers", func() bool { return second.View().Ready })
-	g.c.Assert(second.KnowledgeAge(), qt.Equals, freshness.Unknown)
+	g.c.Assert(second.ConfigurationAge(), qt.Equals, freshness.Unknown)
 }
 
 // unconfirmed is a way to peers of an older version, which tell nothing of the age of their knowledge.
@@ -145,7 +145,7 @@
 	defer g.stop("entry-1")
 	// An answer is taken in before the next question is asked.
 	g.until("some answers confirm a configuration", func() bool { return answers.Load() > 4 })
-	g.c.Assert(second.KnowledgeAge(), qt.Equals, freshness.Unknown)
+	g.c.Assert(second.ConfigurationAge(), qt.Equals, freshness.Unknown)
 }
 
 // withoutChanges is a way to peers on which rows are lost.
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -48,8 +48,8 @@
 	Transact(ctx context.Context, t lovageyard.Transaction) (int64, error)
 }
 
-// Follower is told of each new view.
-type Follower interface {
+// Observer is told of each new view.
+type Observer interface {
 	SetCatalog(view *catalog.Snapshot, now time.Time)
 	SetInstances(names []string, now time.Time)
 }
@@ -61,7 +61,7 @@
 	Registrar Registrar
 	Decoder   lovageyard.Decoder
 	Peers     Peers
-	Follower  Follower
+	Observer  Observer
 	// Quarantine is what instances tell each other of servers that ended.
 	Quarantine Quarantine
 	Timer      lovageyard.Timer
@@ -70,9 +70,9 @@
 	// Seeds are addresses of peers to ask before any other is known.
 	Seeds []string
 	Seed  uint64
-	// ConfirmWithin is the age that the knowledge of the configuration should stay well below while there
+	// MaxConfigurationAge is the age that the knowledge of the configuration should stay well below while there
 	// are client accounts; 0 means that its age does not matter.
-	ConfirmWithin time.Duration
+	MaxConfigurationAge time.Duration
 }
 
 // Control runs the control loop of one entry instance.
@@ -108,7 +108,7 @@
 	relays map[string]*followed
 	// waiters are peers' calls that wait for rows.
 	waiters []waiter
-	packer  peer.Packer
+	packer  peer.Encoder
 	// spokeIn is the life in which an instance last spoke here itself.
 	spokeIn map[string]int64
 	// heardAt is when the first instance heard of the newest change of each table.
@@ -151,7 +151,7 @@
 		failing:  make(map[string]time.Time),
 		unheard:  make(map[string]time.Time),
 	}
-	c.members.SetPatience(silence)
+	c.members.SetSuspectTimeout(silence)
 	c.direct.Store(true)
 	c.relaying.Store(true)
 	c.publish()
@@ -161,7 +161,7 @@
 // Start sets the loop and the watches of the platform's tables going.
 func (c *Control) Start() {
 	ticks := c.settings.Timer.Subscribe(tickEvery)
-	c.inbox.Own(func() { c.run(ticks) })
+	c.inbox.Start(func() { c.run(ticks) })
 	for _, table := range lovageyard.FollowedTables() {
 		c.inbox.Go(func() { c.follow(table) })
 	}
@@ -242,27 +242,27 @@
 		c.dirty = true
 	}
 	c.self.Version = c.state.Cursor(lovageyard.TableOrders)
-	c.members.Hear(c.self, now)
+	c.members.Observe(c.self, now)
 }
 
 // publish makes a new view for traffic.
 func (c *Control) publish() {
 	c.dirty = false
 	view := &catalog.View{
-		Snapshot: c.state.Snapshot(),
-		Live:     c.members.Live(),
-		Ready:    c.state.Ready(),
-		Leaving:  c.leaving,
-		EndsAt:   c.endsAt,
-		Closing:  c.closing,
+		Snapshot:   c.state.Snapshot(),
+		Live:       c.members.Live(),
+		Ready:      c.state.Ready(),
+		Leaving:    c.leaving,
+		ShutdownAt: c.endsAt,
+		Refusing:   c.closing,
 	}
 	before := c.view.Swap(view)
 	if before != nil {
 		c.logChange(before, view)
 	}
-	c.settings.Follower.SetInstances(c.sharers(view), c.settings.Timer.Now())
+	c.settings.Observer.SetInstances(c.sharers(view), c.settings.Timer.Now())
 	if before == nil || before.Snapshot != view.Snapshot {
-		c.settings.Follower.SetCatalog(view.Snapshot, c.settings.Timer.Now())
+		c.settings.Observer.SetCatalog(view.Snapshot, c.settings.Timer.Now())
 	}
 }
 
@@ -354,8 +354,8 @@
 	c.shareWithMany()
 }
 
-// Refuse makes this instance refuse new requests.
-func (c *Control) Refuse() {
+// RefuseRequests makes this instance refuse new requests.
+func (c *Control) RefuseRequests() {
 	c.inbox.Post(refuse{})
 }
 
--- a/fleet/feed.go
+++ b/fleet/feed.go
@@ -109,7 +109,7 @@
 	case table == lovageyard.TableInstances:
 		return watchInstancesFor
 	case table == lovageyard.TableOrders && c.mustConfirm():
-		return min(watchFor, confirmShare*c.settings.ConfirmWithin/100)
+		return min(watchFor, confirmShare*c.settings.MaxConfigurationAge/100)
 	}
 	return watchFor
 }
@@ -178,7 +178,7 @@
 	if !m.whole && c.hasNews(m.changes.Rows) {
 		c.noteAge(m.table, 0, now)
 	}
-	var faults []catalog.Fault
+	var faults []catalog.InvalidRow
 	if m.whole {
 		faults = c.state.ApplyList(m.table, m.changes, now)
 	} else {
@@ -201,7 +201,7 @@
 	}
 	delete(c.failing, table)
 	c.ordersLost.Store(c.isLost(lovageyard.TableOrders))
-	c.state.Regained(table)
+	c.state.MarkReadable(table)
 	c.settings.Logger.WithFields(logrus.Fields{
 		"table":     table,
 		"outage-ms": now.Sub(since).Milliseconds(),
@@ -213,7 +213,7 @@
 		return
 	}
 	c.settings.Metrics.Count(meter.PlatformFailures, m.table, causeOf(m.err))
-	c.state.Lost(m.table)
+	c.state.MarkUnreadable(m.table)
 	c.waits.giveUp()
 	defer c.answerWaiters(now)
 	if _, found := c.failing[m.table]; found {
@@ -231,7 +231,7 @@
 }
 
 // logFaults tells of rows that are passed over; each version of a row is told once.
-func (c *Control) logFaults(faults []catalog.Fault) {
+func (c *Control) logFaults(faults []catalog.InvalidRow) {
 	for _, f := range faults {
 		field := "row"
 		var wrong *lovageyard.FieldError
@@ -257,10 +257,10 @@
 		return
 	}
 	alive := make(map[string]bool)
-	for _, m := range c.members.Known() {
+	for _, m := range c.members.Members() {
 		alive[m.Name] = true
 	}
-	for _, r := range c.state.Since(lovageyard.TableInstances, 0).Rows {
+	for _, r := range c.state.ChangesSince(lovageyard.TableInstances, 0).Rows {
 		if r.Deleted || alive[r.Key] {
 			delete(c.unheard, r.Key)
 			continue
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -130,7 +130,7 @@
 			CallerAddress: name + ":1", PeerAddress: name + ":2", State: lovageyard.StateLive,
 		},
 		Feed: feed, Registrar: registrar, Decoder: platform.Decoder{}, Peers: peers{network: g.network, self: name + ":2"},
-		Follower: follower{}, Quarantine: g.quarantine(), Timer: timer.Clock{}, Logger: quiet(), Metrics: meter.NewSet(), Seeds: seeds, Seed: uint64(life),
+		Observer: follower{}, Quarantine: g.quarantine(), Timer: timer.Clock{}, Logger: quiet(), Metrics: meter.NewSet(), Seeds: seeds, Seed: uint64(life),
 	}
 }
 
--- a/fleet/narrow_test.go
+++ b/fleet/narrow_test.go
@@ -195,7 +195,7 @@
 // baseless is a peer that sends differences from a base that nobody else has, unless it is
 // asked for whole values.
 type baseless struct {
-	packer peer.Packer
+	packer peer.Encoder
 	row    lovageyard.Row
 }
 
@@ -210,7 +210,7 @@
 	}
 	changes := lovageyard.Changes{To: p.row.Version, Rows: []lovageyard.Row{p.row}}
 	return &wire.ShareReply{
-		Changes: []*wire.TableChanges{{Table: p.row.Table, Changes: p.packer.FromChanges(changes, baseOf)}},
+		Changes: []*wire.TableChanges{{Table: p.row.Table, Changes: p.packer.EncodeChanges(changes, baseOf)}},
 		Stale:   true,
 	}, nil
 }
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -230,11 +230,11 @@
 		if c.state.Cursor(cursor.GetTable()) <= cursor.GetVersion() {
 			continue
 		}
-		changes := c.state.Since(cursor.GetTable(), cursor.GetVersion())
+		changes := c.state.ChangesSince(cursor.GetTable(), cursor.GetVersion())
 		if len(changes.Rows) == 0 && changes.After > 0 {
 			continue
 		}
-		packed, err := c.packer.Pack(cursor.GetTable(), changes, c.baseAt(cursor), r.GetReads())
+		packed, err := c.packer.EncodeTable(cursor.GetTable(), changes, c.baseAt(cursor), r.GetReads())
 		if err != nil {
 			c.settings.Logger.WithError(err).Error("rows can't be sent to a peer")
 			continue
@@ -246,9 +246,9 @@
 }
 
 // baseAt returns the rows that a peer holds by what it has told.
-func (c *Control) baseAt(cursor *wire.Cursor) peer.BaseOf {
+func (c *Control) baseAt(cursor *wire.Cursor) peer.BaseLookup {
 	if cursor.GetWhole() {
 		return peer.NoBase
 	}
-	return func(r lovageyard.Row) (lovageyard.Row, bool) { return c.state.Base(r, cursor.GetVersion()) }
+	return func(r lovageyard.Row) (lovageyard.Row, bool) { return c.state.DeltaBase(r, cursor.GetVersion()) }
 }
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -72,7 +72,7 @@
 // partners returns all instances that may be alive, in random order.
 func (c *Control) partners() []partner {
 	found := make(map[string]string)
-	for _, m := range c.members.Heard() {
+	for _, m := range c.members.Observed() {
 		found[m.PeerAddress] = m.Region
 	}
 	for _, m := range c.state.Instances() {
@@ -102,7 +102,7 @@
 
 // newRequest returns a call to a peer that says who asks and what it reads.
 func (c *Control) newRequest() *wire.ShareRequest {
-	return &wire.ShareRequest{From: peer.FromMember(c.self), Reads: peer.NewestForm}
+	return &wire.ShareRequest{From: peer.FromMember(c.self), Reads: peer.NewestEncoding}
 }
 
 // request returns what an exchange with a peer begins with.
@@ -152,7 +152,7 @@
 // pulses returns word of others for a peer.
 func (c *Control) pulses() []*wire.Pulse {
 	var out []*wire.Pulse
-	for _, m := range c.members.GossipOf(c.self.Region, maxPulses, c.settings.Timer.Now()) {
+	for _, m := range c.members.GossipForRegion(c.self.Region, maxPulses, c.settings.Timer.Now()) {
 		out = append(out, &wire.Pulse{
 			Instance:  m.Name,
 			Life:      m.Life,
@@ -259,7 +259,7 @@
 func (c *Control) hearMember(m instance.Member, now time.Time) {
 	if m.Name != c.self.Name {
 		before, known := c.members.Find(m.Name)
-		c.members.Hear(m, now)
+		c.members.Observe(m, now)
 		if !known || before.State != m.State || before.Behind != m.Behind || before.CallerAddress != m.CallerAddress {
 			c.dirty = true
 		}
@@ -267,7 +267,7 @@
 	}
 	if m.Life > c.self.Life || m.Life == c.self.Life && m.Heartbeat > c.self.Heartbeat {
 		c.self.Life = m.Life + 1
-		c.members.Hear(c.self, now)
+		c.members.Observe(c.self, now)
 	}
 }
 
@@ -292,7 +292,7 @@
 
 // toChanges returns the changes of a wire message; rows that are known already are left unread.
 func (c *Control) toChanges(t *wire.TableChanges) (lovageyard.Changes, error) {
-	whole, err := peer.Unpack(t)
+	whole, err := peer.DecodeTable(t)
 	if err != nil {
 		return lovageyard.Changes{}, err
 	}
@@ -300,12 +300,12 @@
 	known := 0
 	for _, sent := range whole.GetRows() {
 		row := lovageyard.Row{Table: t.GetTable(), Key: sent.GetKey(), Version: sent.GetVersion()}
-		if c.state.Knows(row) {
+		if c.state.HasRow(row) {
 			known++
 			changes.Rows = append(changes.Rows, row)
 			continue
 		}
-		base, found := c.state.Value(t.GetTable(), sent.GetKey(), sent.GetBase())
+		base, found := c.state.ValueAt(t.GetTable(), sent.GetKey(), sent.GetBase())
 		if sent.GetBase() > 0 && !found {
 			return changes, errors.Errorf("row %s/%s: its base, version %d, is not known", t.GetTable(), sent.GetKey(), sent.GetBase())
 		}
--- a/grant/divide.go
+++ b/grant/divide.go
@@ -75,7 +75,7 @@
 // saved up and spent by many in the same second. Who is no holder gets nothing.
 func Part(rate float64, names []string, key, self string) float64 {
 	count := min(len(names), 1+int(min(rate, float64(len(names)))))
-	if place := instance.Place(names, key, self); place < 0 || place >= count {
+	if place := instance.RendezvousRank(names, key, self); place < 0 || place >= count {
 		return 0
 	}
 	return rate / float64(count)
--- a/inbox/inbox.go
+++ b/inbox/inbox.go
@@ -29,8 +29,8 @@
 	return b
 }
 
-// Own starts the owner's goroutine, which reads Messages until the context ends.
-func (b *Inbox[S]) Own(run func()) {
+// Start starts the owner's goroutine, which reads Messages until the context ends.
+func (b *Inbox[S]) Start(run func()) {
 	b.owner.Go(run)
 }
 
--- a/inbox/inbox_test.go
+++ b/inbox/inbox_test.go
@@ -26,7 +26,7 @@
 // own starts the owner of a sum.
 func own(b *inbox.Inbox[*sum]) *sum {
 	s := &sum{seen: make(chan int)}
-	b.Own(func() {
+	b.Start(func() {
 		for {
 			select {
 			case m := <-b.Messages():
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -43,43 +43,43 @@
 		after time.Duration
 		live  bool
 	}{
-		{"only listed", func(x *Table) { x.List(listed(lovageyard.StateLive, 1), testStart) }, time.Second, true},
-		{"listed, never heard", func(x *Table) { x.List(listed(lovageyard.StateLive, 1), testStart) }, SuspectAfter, false},
-		{"heard", func(x *Table) { x.Hear(member("peer", "a1", 1, 1), testStart) }, time.Second, true},
+		{"only listed", func(x *Table) { x.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, time.Second, true},
+		{"listed, never heard", func(x *Table) { x.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, SuspectTimeout, false},
+		{"heard", func(x *Table) { x.Observe(member("peer", "a1", 1, 1), testStart) }, time.Second, true},
 		{"silent although listed", func(x *Table) {
-			x.Hear(member("peer", "a1", 1, 1), testStart)
-			x.List(listed(lovageyard.StateLive, 1), testStart)
-		}, SuspectAfter, false},
-		{"silent elsewhere", func(x *Table) { x.Hear(member("peer", "b1", 1, 1), testStart) }, SuspectAfter, true},
-		{"long silent elsewhere", func(x *Table) { x.Hear(member("peer", "b1", 1, 1), testStart) }, 2 * RemoteSuspectAfter, false},
+			x.Observe(member("peer", "a1", 1, 1), testStart)
+			x.ApplyList(listed(lovageyard.StateLive, 1), testStart)
+		}, SuspectTimeout, false},
+		{"silent elsewhere", func(x *Table) { x.Observe(member("peer", "b1", 1, 1), testStart) }, SuspectTimeout, true},
+		{"long silent elsewhere", func(x *Table) { x.Observe(member("peer", "b1", 1, 1), testStart) }, 2 * RemoteSuspectTimeout, false},
 		{"absent from the list", func(x *Table) {
-			x.Hear(member("peer", "a1", 1, 1), testStart)
-			x.List(nil, testStart)
+			x.Observe(member("peer", "a1", 1, 1), testStart)
+			x.ApplyList(nil, testStart)
 		}, time.Second, true},
 		{"says that it leaves", func(x *Table) {
-			x.Hear(member("peer", "a1", 1, 1), testStart)
-			x.Hear(leaving(member("peer", "a1", 1, 2)), testStart)
+			x.Observe(member("peer", "a1", 1, 1), testStart)
+			x.Observe(leaving(member("peer", "a1", 1, 2)), testStart)
 		}, 0, false},
 		{"listed as leaving", func(x *Table) {
-			x.Hear(member("peer", "a1", 1, 1), testStart)
-			x.List(listed(lovageyard.StateLeaving, 1), testStart)
+			x.Observe(member("peer", "a1", 1, 1), testStart)
+			x.ApplyList(listed(lovageyard.StateLeaving, 1), testStart)
 		}, 0, false},
 		{"an earlier life listed as leaving", func(x *Table) {
-			x.Hear(member("peer", "a1", 2, 1), testStart)
-			x.List(listed(lovageyard.StateLeaving, 1), testStart)
+			x.Observe(member("peer", "a1", 2, 1), testStart)
+			x.ApplyList(listed(lovageyard.StateLeaving, 1), testStart)
 		}, 0, true},
 		{"new life after leaving", func(x *Table) {
-			x.Hear(leaving(member("peer", "a1", 1, 9)), testStart)
-			x.Hear(member("peer", "a1", 2, 1), testStart)
+			x.Observe(leaving(member("peer", "a1", 1, 9)), testStart)
+			x.Observe(member("peer", "a1", 2, 1), testStart)
 		}, 0, true},
 		{"word of an old life", func(x *Table) {
-			x.Hear(member("peer", "a1", 2, 1), testStart)
-			x.Hear(leaving(member("peer", "a1", 1, 9)), testStart)
+			x.Observe(member("peer", "a1", 2, 1), testStart)
+			x.Observe(leaving(member("peer", "a1", 1, 9)), testStart)
 		}, 0, true},
 		{"an old heartbeat repeated", func(x *Table) {
-			x.Hear(member("peer", "a1", 1, 5), testStart)
-			x.Hear(member("peer", "a1", 1, 4), testStart.Add(3*time.Second))
-		}, SuspectAfter, false},
+			x.Observe(member("peer", "a1", 1, 5), testStart)
+			x.Observe(member("peer", "a1", 1, 4), testStart.Add(3*time.Second))
+		}, SuspectTimeout, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -98,7 +98,7 @@
 func TestTableForgets(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(member("self", "a1", 1, 0), testStart)
-	table.Hear(member("peer", "a1", 1, 1), testStart)
+	table.Observe(member("peer", "a1", 1, 1), testStart)
 	for s := range 300 {
 		table.Tick(testStart.Add(time.Duration(s) * time.Second))
 	}
@@ -171,7 +171,7 @@
 	}
 	// With one wide instance left, a narrow one stands in for the second relay.
 	relays := ChooseRelays(live[:4], "north-1")
-	c.Assert(relays, qt.HasLen, Relays)
+	c.Assert(relays, qt.HasLen, RelaysPerDomain)
 	c.Assert(relays[0], qt.Equals, "entry-2")
 }
 
@@ -179,7 +179,7 @@
 	c := qt.New(t)
 	all := fleet(2, 5)
 	relays := ChooseRelays(all, "domain-00")
-	c.Assert(relays, qt.HasLen, Relays)
+	c.Assert(relays, qt.HasLen, RelaysPerDomain)
 	var rest []lovageyard.EntryInstance
 	for _, m := range all {
 		if m.Name != relays[0] {
@@ -196,7 +196,7 @@
 	table := NewTable(member("self", "domain-00", 1, 0), testStart)
 	all := fleet(6, 10)
 	for _, i := range all {
-		table.Hear(Member{EntryInstance: i, Heartbeat: 1, Steps: []Step{{Class: "class"}}}, testStart)
+		table.Observe(Member{EntryInstance: i, Heartbeat: 1, Steps: []Step{{Class: "class"}}}, testStart)
 	}
 	const count = 12
 	seen := make(map[string]bool)
@@ -212,7 +212,7 @@
 	c.Assert(seen, qt.HasLen, len(all)+1)
 	news := Member{EntryInstance: all[59], Heartbeat: 2}
 	news.State = lovageyard.StateLeaving
-	table.Hear(news, later)
+	table.Observe(news, later)
 	c.Assert(table.Gossip(count, later)[0].Name, qt.Equals, all[59].Name)
 }
 
@@ -223,16 +223,16 @@
 	start := time.Unix(1000, 0)
 	const patience = 4 * time.Second
 	table := NewTable(member("self", "north-1", 1, 1), start)
-	table.SetPatience(patience)
+	table.SetSuspectTimeout(patience)
 	dead := member("dead", "north-1", 1, 1)
-	table.Hear(dead, start)
+	table.Observe(dead, start)
 	c.Assert(table.Live(), qt.HasLen, 2)
 
 	// Its last heartbeat comes by a long way.
 	dead.Heartbeat++
 	dead.Age = 3 * time.Second
 	now := start.Add(3 * time.Second)
-	c.Assert(table.Hear(dead, now), qt.IsTrue)
+	c.Assert(table.Observe(dead, now), qt.IsTrue)
 	c.Assert(table.Tick(now.Add(900*time.Millisecond)), qt.IsFalse)
 	c.Assert(table.Tick(now.Add(time.Second)), qt.IsTrue)
 	c.Assert(table.Live(), qt.HasLen, 1)
@@ -241,18 +241,18 @@
 	dead.Heartbeat++
 	dead.Age = 5 * time.Second
 	now = now.Add(2 * time.Second)
-	table.Hear(dead, now)
+	table.Observe(dead, now)
 	c.Assert(table.Live(), qt.HasLen, 1)
 
 	// It is not passed on either.
-	c.Assert(table.GossipOf("north", 10, now), qt.HasLen, 0)
+	c.Assert(table.GossipForRegion("north", 10, now), qt.HasLen, 0)
 
 	// What is young enough is passed on with its age.
 	dead.Heartbeat++
 	dead.Age = time.Second
-	table.Hear(dead, now)
+	table.Observe(dead, now)
 	c.Assert(table.Live(), qt.HasLen, 2)
-	passed := table.GossipOf("north", 10, now.Add(time.Second))
+	passed := table.GossipForRegion("north", 10, now.Add(time.Second))
 	c.Assert(passed, qt.HasLen, 1)
 	c.Assert(passed[0].Age, qt.Equals, 2*time.Second)
 }
@@ -262,18 +262,18 @@
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	table := NewTable(member("self", "north-1", 1, 1), start)
-	table.SetPatience(time.Hour)
+	table.SetSuspectTimeout(time.Hour)
 	for i := range 30 {
 		m := member(fmt.Sprintf("m-%02d", i), "north-1", 1, 1)
 		if i%3 > 0 {
 			m.Region = "south"
 		}
-		table.Hear(m, start)
+		table.Observe(m, start)
 	}
 	later := start.Add(time.Minute)
 	const count = 16
 	counts := make(map[string]int)
-	for _, m := range table.GossipOf("south", count, later) {
+	for _, m := range table.GossipForRegion("south", count, later) {
 		counts[m.Region]++
 	}
 	c.Assert(counts, qt.DeepEquals, map[string]int{"south": 12, "n": 4})
--- a/instance/rank.go
+++ b/instance/rank.go
@@ -19,8 +19,8 @@
 	MaxRanks = ownRanks + otherRanks
 )
 
-// Relays is the number of instances of a failure domain that read the platform for the rest.
-const Relays = 2
+// RelaysPerDomain is the number of instances of a failure domain that read the platform for the rest.
+const RelaysPerDomain = 2
 
 // Directory ranks entry instances for look-ups; it is immutable.
 type Directory struct {
@@ -117,7 +117,7 @@
 		chosen := -1
 		score := uint64(0)
 		for _, p := range positions {
-			if s := Mix(block ^ d.hashes[p]); (chosen < 0 || s > score) && !r.holds(p) {
+			if s := MixHash(block ^ d.hashes[p]); (chosen < 0 || s > score) && !r.holds(p) {
 				chosen = p
 				score = s
 			}
@@ -139,8 +139,8 @@
 	return false
 }
 
-// Mix spreads the bits of a hash, so that scores of one block are independent of each other.
-func Mix(x uint64) uint64 {
+// MixHash spreads the bits of a hash, so that scores of one block are independent of each other.
+func MixHash(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -160,15 +160,15 @@
 	}
 	var relays []string
 	for _, link := range slices.Backward(slices.Sorted(maps.Keys(byLink))) {
-		relays = append(relays, Choose(byLink[link], failureDomain, Relays-len(relays))...)
+		relays = append(relays, Rendezvous(byLink[link], failureDomain, RelaysPerDomain-len(relays))...)
 	}
 	return relays
 }
 
-// Choose returns the names that score highest for a key by rendezvous hash, best first.
-func Choose(names []string, key string, count int) []string {
+// Rendezvous returns the names that score highest for a key by rendezvous hash, best first.
+func Rendezvous(names []string, key string, count int) []string {
 	salt := xxhash.Sum64String(key)
-	score := func(name string) uint64 { return Mix(salt ^ xxhash.Sum64String(name)) }
+	score := func(name string) uint64 { return MixHash(salt ^ xxhash.Sum64String(name)) }
 	chosen := slices.Clone(names)
 	slices.SortFunc(chosen, func(a, b string) int {
 		return cmp.Or(cmp.Compare(score(b), score(a)), strings.Compare(a, b))
@@ -176,17 +176,17 @@
 	return chosen[:min(count, len(chosen))]
 }
 
-// Place returns how many names come before one of them in the order of Choose, or -1 if it is not among them.
-func Place(names []string, key, self string) int {
+// RendezvousRank returns how many names come before one of them in the order of Choose, or -1 if it is not among them.
+func RendezvousRank(names []string, key, self string) int {
 	salt := xxhash.Sum64String(key)
-	own := Mix(salt ^ xxhash.Sum64String(self))
+	own := MixHash(salt ^ xxhash.Sum64String(self))
 	place, found := 0, false
 	for _, name := range names {
 		if name == self {
 			found = true
 			continue
 		}
-		if score := Mix(salt ^ xxhash.Sum64String(name)); score > own || score == own && name < self {
+		if score := MixHash(salt ^ xxhash.Sum64String(name)); score > own || score == own && name < self {
 			place++
 		}
 	}
--- a/instance/table.go
+++ b/instance/table.go
@@ -12,14 +12,14 @@
 
 // Limits of silence after which an instance is judged anew.
 const (
-	// SuspectAfter is the silence after which an instance of the own failure domain leaves look-ups.
-	SuspectAfter = 5 * time.Second
-	// RemoteSuspectAfter is the least silence for other failure domains, whose word comes through others.
-	RemoteSuspectAfter = 15 * time.Second
+	// SuspectTimeout is the silence after which an instance of the own failure domain leaves look-ups.
+	SuspectTimeout = 5 * time.Second
+	// RemoteSuspectTimeout is the least silence for other failure domains, whose word comes through others.
+	RemoteSuspectTimeout = 15 * time.Second
 	// remoteSuspectPerMember is added for each known instance, as word of it comes round less often.
 	remoteSuspectPerMember = 200 * time.Millisecond
-	// ForgetAfter is the further silence after which an instance is gone.
-	ForgetAfter = time.Minute
+	// ForgetTimeout is the further silence after which an instance is gone.
+	ForgetTimeout = time.Minute
 )
 
 // Member is what an entry instance says of itself.
@@ -38,12 +38,12 @@
 // Step tells how far an instance is with the plan of one class.
 type Step struct {
 	Class string
-	// Begun is the plan step that the instance moves to.
-	Begun int64
-	// Settled is the plan step that the instance applies in full.
-	Settled int64
-	// Left is the share of the instance's work that still has to move.
-	Left float64
+	// Started is the plan step that the instance moves to.
+	Started int64
+	// Completed is the plan step that the instance applies in full.
+	Completed int64
+	// Remaining is the share of the instance's work that still has to move.
+	Remaining float64
 }
 
 type entry struct {
@@ -70,9 +70,9 @@
 	silence time.Duration
 }
 
-// SetPatience sets one patience for all members, wherever they are: for fleets whose
+// SetSuspectTimeout sets one patience for all members, wherever they are: for fleets whose
 // members exchange directly with random others, so that word is never long on its way.
-func (t *Table) SetPatience(silence time.Duration) {
+func (t *Table) SetSuspectTimeout(silence time.Duration) {
 	t.silence = silence
 }
 
@@ -83,13 +83,13 @@
 		domain:  self.FailureDomain,
 		entries: make(map[string]*entry),
 	}
-	t.Hear(self, now)
+	t.Observe(self, now)
 	return t
 }
 
-// Hear takes in what a member says of itself, at first or second hand, and says
+// Observe takes in what a member says of itself, at first or second hand, and says
 // whether it was news. An older life or an older heartbeat is ignored.
-func (t *Table) Hear(m Member, now time.Time) bool {
+func (t *Table) Observe(m Member, now time.Time) bool {
 	e := t.entries[m.Name]
 	if e == nil {
 		e = &entry{machine: newMachine(), changed: now}
@@ -134,9 +134,9 @@
 	return m.Heartbeat > known.Heartbeat
 }
 
-// List takes in the platform's list. It introduces instances and marks those that
+// ApplyList takes in the platform's list. It introduces instances and marks those that
 // leave; it never overrules what an instance said itself, and absence removes nothing.
-func (t *Table) List(instances []lovageyard.EntryInstance, now time.Time) {
+func (t *Table) ApplyList(instances []lovageyard.EntryInstance, now time.Time) {
 	for _, listed := range instances {
 		e := t.entries[listed.Name]
 		if e == nil {
@@ -174,10 +174,10 @@
 		if silence >= t.patience(e) {
 			fire(e.machine, eventSilent)
 		}
-		if silence >= t.patience(e)+ForgetAfter {
+		if silence >= t.patience(e)+ForgetTimeout {
 			fire(e.machine, eventExpired)
 		}
-		if e.machine.Current() == stateGone && silence >= t.patience(e)+2*ForgetAfter {
+		if e.machine.Current() == stateGone && silence >= t.patience(e)+2*ForgetTimeout {
 			delete(t.entries, name)
 		}
 		if before != e.machine.Current() {
@@ -193,14 +193,14 @@
 		return t.silence
 	}
 	if e.member.FailureDomain == t.domain {
-		return SuspectAfter
+		return SuspectTimeout
 	}
-	return RemoteSuspectAfter + time.Duration(len(t.entries))*remoteSuspectPerMember
+	return RemoteSuspectTimeout + time.Duration(len(t.entries))*remoteSuspectPerMember
 }
 
-// Known returns the members that are not gone, in the order of their names, with
+// Members returns the members that are not gone, in the order of their names, with
 // the states that this instance judges them to be in.
-func (t *Table) Known() []Member {
+func (t *Table) Members() []Member {
 	var members []Member
 	for _, e := range t.entries {
 		m := e.member
@@ -213,8 +213,8 @@
 	return members
 }
 
-// Heard returns the members that have spoken and are not gone, as they described themselves.
-func (t *Table) Heard() []Member {
+// Observed returns the members that have spoken and are not gone, as they described themselves.
+func (t *Table) Observed() []Member {
 	var members []Member
 	for _, e := range t.entries {
 		if e.heard && e.machine.Current() != stateGone {
@@ -272,17 +272,17 @@
 // other failure domains' members are left out, as only neighbours need them.
 func (t *Table) Gossip(count int, now time.Time) []Member {
 	isFirst := func(m Member) bool { return m.FailureDomain == t.domain }
-	return t.trim(t.choose(t.Heard(), count, now, isFirst, 0.5))
+	return t.trim(t.choose(t.Observed(), count, now, isFirst, 0.5))
 }
 
 // regionShare is the part of GossipOf's turns that is for members of the region.
 const regionShare = 0.75
 
-// GossipOf returns up to a number of members to tell a peer of: a quarter of it for news, the
+// GossipForRegion returns up to a number of members to tell a peer of: a quarter of it for news, the
 // rest by turns, most of that for members of one region. Members that have been silent for
 // too long are left out.
-func (t *Table) GossipOf(region string, count int, now time.Time) []Member {
-	heard := slices.DeleteFunc(t.Heard(), func(m Member) bool {
+func (t *Table) GossipForRegion(region string, count int, now time.Time) []Member {
+	heard := slices.DeleteFunc(t.Observed(), func(m Member) bool {
 		e := t.entries[m.Name]
 		return now.Sub(e.changed) >= t.patience(e)
 	})
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -154,7 +154,7 @@
 		KeepFor:   o.KeepFor,
 		Headroom:  o.Headroom,
 		Pool:      server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
-		Latencies: placement.Latencies{SameRegion: o.SameRegionDelay, Else: o.OtherRegionDelay},
+		Latencies: placement.Latencies{SameRegion: o.SameRegionDelay, OtherRegion: o.OtherRegionDelay},
 		LeaseSpan: o.LeaseSpan,
 		Seed:      uint64(self.Life),
 	})
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -165,7 +165,7 @@
 		Registrar:  e.store,
 		Decoder:    platform.Decoder{Regions: o.Regions},
 		Peers:      e.peers,
-		Follower:   e.dispatch,
+		Observer:   e.dispatch,
 		Quarantine: e.watch,
 		Timer:      e.timer,
 		Logger:     e.logger,
@@ -173,7 +173,7 @@
 		Seeds:      o.PeerAddresses,
 		Seed:       uint64(self.Life),
 
-		ConfirmWithin: o.RevokeWithin,
+		MaxConfigurationAge: o.RevokeWithin,
 	})
 	e.limiter = quota.NewLimiter(quota.Settings{
 		Self:    o.Instance,
@@ -301,7 +301,7 @@
 	e.meters.Update(meter.InFlight, int64(census.InFlight))
 	e.meters.Update(meter.ConfigurationNow, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
-	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.KnowledgeAge()))
+	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfigurationAge()))
 	e.meters.Update(meter.LimitsTight, int64(e.limiter.Tight()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
@@ -333,7 +333,7 @@
 	endsAt := began.Add(time.Duration(closeAfter * float64(e.options.LeaveWithin)))
 	e.control.Leave(endsAt)
 	e.wait(time.Duration(refuseAfter * float64(e.options.LeaveWithin)))
-	e.control.Refuse()
+	e.control.RefuseRequests()
 	bound, cancel := context.WithTimeout(context.Background(), endsAt.Sub(e.timer.Now()))
 	defer cancel()
 	if err := e.callers.Shutdown(bound); err != nil {
--- a/move/gate.go
+++ b/move/gate.go
@@ -14,10 +14,10 @@
 // rate, as a burst of one request would otherwise use up the cap.
 const fewest = 2
 
-// Gate admits requests to the sites that their buckets are moving to. For every run
+// Limiter admits requests to the sites that their buckets are moving to. For every run
 // of requests it admits at most the cap's share, counted over the requests themselves,
 // or one request if the cap's share is less than one.
-type Gate struct {
+type Limiter struct {
 	arrivals atomic.Uint64
 
 	mu       sync.Mutex
@@ -29,30 +29,30 @@
 	admitted uint64
 }
 
-// Zone counts the requests of the moving part since the last Reset.
-type Zone struct {
-	Asked    uint64
-	Admitted uint64
+// Counts counts the requests of the moving part since the last Reset.
+type Counts struct {
+	Requested uint64
+	Admitted  uint64
 }
 
 // Ratio returns the share of the moving part's requests that were admitted; with no request, 1.
-func (z Zone) Ratio() float64 {
-	if z.Asked == 0 {
+func (z Counts) Ratio() float64 {
+	if z.Requested == 0 {
 		return 1
 	}
-	return float64(z.Admitted) / float64(z.Asked)
+	return float64(z.Admitted) / float64(z.Requested)
 }
 
-// NewGate returns a gate for a cap, when an interval is expected to bring so many requests.
-func NewGate(limit, perInterval float64) *Gate {
-	g := &Gate{}
-	g.Set(limit, perInterval)
+// NewLimiter returns a gate for a cap, when an interval is expected to bring so many requests.
+func NewLimiter(limit, perInterval float64) *Limiter {
+	g := &Limiter{}
+	g.SetCap(limit, perInterval)
 	return g
 }
 
-// Set changes the cap and the number of requests expected in an interval. The rate and
+// SetCap changes the cap and the number of requests expected in an interval. The rate and
 // the burst together stay within the cap for every window with so many requests.
-func (g *Gate) Set(limit, perInterval float64) {
+func (g *Limiter) SetCap(limit, perInterval float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if limit >= 1 {
@@ -74,44 +74,44 @@
 	g.tokens = math.Min(g.tokens, g.burst)
 }
 
-// Spend debits moved work that did not ask the gate, so that the requests that do ask
+// Debit debits moved work that did not ask the gate, so that the requests that do ask
 // make up for it.
-func (g *Gate) Spend(requests float64) {
+func (g *Limiter) Debit(requests float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens -= requests
 }
 
-// Arrive counts one request of the class, wherever it goes.
-func (g *Gate) Arrive() {
+// CountArrival counts one request of the class, wherever it goes.
+func (g *Limiter) CountArrival() {
 	g.arrivals.Add(1)
 }
 
 // Arrivals returns the number of requests counted so far.
-func (g *Gate) Arrivals() uint64 {
+func (g *Limiter) Arrivals() uint64 {
 	return g.arrivals.Load()
 }
 
-// Take says whether a request of the moving part may go to the new site.
-func (g *Gate) Take() bool {
+// Allow says whether a request of the moving part may go to the new site.
+func (g *Limiter) Allow() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.asked++
-	if !g.take() {
+	if !g.takeToken() {
 		return false
 	}
 	g.admitted++
 	return true
 }
 
-// TakeForced says whether a request that a failure forces off its site may go to another.
-func (g *Gate) TakeForced() bool {
+// AllowFailover says whether a request that a failure forces off its site may go to another.
+func (g *Limiter) AllowFailover() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.take()
+	return g.takeToken()
 }
 
-func (g *Gate) take() bool {
+func (g *Limiter) takeToken() bool {
 	arrivals := g.arrivals.Load()
 	g.tokens = math.Min(g.burst, g.tokens+float64(arrivals-g.seen)*g.rate)
 	g.seen = arrivals
@@ -122,11 +122,11 @@
 	return true
 }
 
-// Reset returns the counts of the moving part and starts them anew.
-func (g *Gate) Reset() Zone {
+// ResetCounts returns the counts of the moving part and starts them anew.
+func (g *Limiter) ResetCounts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	z := Zone{Asked: g.asked, Admitted: g.admitted}
+	z := Counts{Requested: g.asked, Admitted: g.admitted}
 	g.asked = 0
 	g.admitted = 0
 	return z
--- a/move/gate_test.go
+++ b/move/gate_test.go
@@ -17,12 +17,12 @@
 		asks := rapid.SliceOfN(rapid.Bool(), 1, 3*interval).Draw(t, "asks")
 		always := rapid.Bool().Draw(t, "always")
 		forced := rapid.SliceOfN(rapid.Bool(), len(asks), len(asks)).Draw(t, "forced")
-		g := NewGate(limit, float64(interval))
+		g := NewLimiter(limit, float64(interval))
 		moved := make([]int, len(asks)+1)
 		for i, asked := range asks {
-			g.Arrive()
+			g.CountArrival()
 			moved[i+1] = moved[i]
-			if (asked || always) && (forced[i] && g.TakeForced() || !forced[i] && g.Take()) {
+			if (asked || always) && (forced[i] && g.AllowFailover() || !forced[i] && g.Allow()) {
 				moved[i+1]++
 			}
 		}
@@ -49,16 +49,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			g := NewGate(test.limit, float64(test.interval))
+			g := NewLimiter(test.limit, float64(test.interval))
 			moved := 0
 			for range test.interval {
-				g.Arrive()
-				if g.Take() {
+				g.CountArrival()
+				if g.Allow() {
 					moved++
 				}
 			}
 			c.Assert(float64(moved) >= test.least*test.limit*float64(test.interval), qt.IsTrue, qt.Commentf("moved %d", moved))
-			c.Assert(g.Reset().Asked, qt.Equals, uint64(test.interval))
+			c.Assert(g.ResetCounts().Requested, qt.Equals, uint64(test.interval))
 		})
 	}
 }
--- a/move/stepper.go
+++ b/move/stepper.go
@@ -28,8 +28,8 @@
 	Buckets       []float64
 }
 
-// Of returns the requests of one bucket.
-func (d *Demand) Of(home string, bucket int) float64 {
+// Bucket returns the requests of one bucket.
+func (d *Demand) Bucket(home string, bucket int) float64 {
 	for i := range d.Homes {
 		if d.Homes[i].FailureDomain == home {
 			return d.Homes[i].Buckets[bucket]
@@ -41,13 +41,13 @@
 // Stepper moves one class's work at one entry instance towards the newest plan, in
 // steps that are at least one interval apart and each within the cap.
 type Stepper struct {
-	gate      *Gate
-	target    lovageyard.Target
-	plan      lovageyard.ClassPlan
-	applied   Applied
-	adopted   bool
-	moving    bool
-	steppedAt time.Time
+	gate        *Limiter
+	target      lovageyard.Target
+	plan        lovageyard.ClassPlan
+	applied     Placement
+	initialized bool
+	moving      bool
+	steppedAt   time.Time
 	// generation grows with each change of what is applied.
 	generation uint64
 }
@@ -55,13 +55,13 @@
 // NewStepper returns a Stepper without a placement; Adopt gives it one.
 func NewStepper(target lovageyard.Target) *Stepper {
 	return &Stepper{
-		gate:   NewGate(target.Cap, 0),
+		gate:   NewLimiter(target.Cap, 0),
 		target: target,
 	}
 }
 
-// Gate returns the gate that the stepper's routes pass.
-func (s *Stepper) Gate() *Gate {
+// Limiter returns the gate that the stepper's routes pass.
+func (s *Stepper) Limiter() *Limiter {
 	return s.gate
 }
 
@@ -70,23 +70,23 @@
 	return s.generation
 }
 
-// Adopted says whether the stepper has a placement.
-func (s *Stepper) Adopted() bool {
-	return s.adopted
+// Initialized says whether the stepper has a placement.
+func (s *Stepper) Initialized() bool {
+	return s.initialized
 }
 
 // Applied returns a copy of what the stepper applies.
-func (s *Stepper) Applied() Applied {
+func (s *Stepper) Applied() Placement {
 	return s.applied.Clone()
 }
 
-// Adopt takes over a placement that is in force elsewhere; only the first one counts.
+// Initialize takes over a placement that is in force elsewhere; only the first one counts.
 // The steps that others may have under way are taken as just begun.
-func (s *Stepper) Adopt(a Applied, now time.Time) {
-	if s.adopted {
+func (s *Stepper) Initialize(a Placement, now time.Time) {
+	if s.initialized {
 		return
 	}
-	s.adopted = true
+	s.initialized = true
 	s.generation++
 	s.applied = a.Clone()
 	s.steppedAt = now
@@ -106,9 +106,9 @@
 	s.plan = p
 }
 
-// Settled returns the plan step that is applied in full, and the share of demand that still has to move.
-func (s *Stepper) Settled(d Demand) (step int64, remaining float64) {
-	if !s.adopted {
+// Progress returns the plan step that is applied in full, and the share of demand that still has to move.
+func (s *Stepper) Progress(d Demand) (step int64, remaining float64) {
+	if !s.initialized {
 		return 0, 1
 	}
 	open := s.open(d)
@@ -123,7 +123,7 @@
 // The level argument says that every peer that shares this instance's clients has
 // begun the step that this instance has under way.
 func (s *Stepper) Tick(now time.Time, d Demand, level bool) bool {
-	if !s.adopted || s.plan.Step == 0 {
+	if !s.initialized || s.plan.Step == 0 {
 		return false
 	}
 	before := s.applied.Step
@@ -151,9 +151,9 @@
 	return !s.moving || s.intervalOver(now)
 }
 
-// Resting says whether no step is under way.
-func (s *Stepper) Resting() bool {
-	return s.adopted && !s.moving
+// Idle says whether no step is under way.
+func (s *Stepper) Idle() bool {
+	return s.initialized && !s.moving
 }
 
 func (s *Stepper) intervalOver(now time.Time) bool {
@@ -173,12 +173,12 @@
 }
 
 func (s *Stepper) settle() {
-	ratio := s.gate.Reset().Ratio()
+	ratio := s.gate.ResetCounts().Ratio()
 	for i := range s.applied.Homes {
 		cells := s.applied.Homes[i].Cells
 		for b := range cells {
 			if cells[b].Moving {
-				cells[b].settle(ratio)
+				cells[b].completeStep(ratio)
 			}
 		}
 	}
@@ -195,7 +195,7 @@
 	if s.plan.Move != nil && s.plan.Move.State == lovageyard.MoveHeld {
 		return false
 	}
-	s.gate.Reset()
+	s.gate.ResetCounts()
 	left := 0.0
 	for _, c := range cells {
 		left += c.left
@@ -224,7 +224,7 @@
 		for b := range h.Cells {
 			c := &h.Cells[b]
 			if s.aim(c, h.FailureDomain, b) {
-				cells = append(cells, openCell{Cell: c, left: d.Of(h.FailureDomain, b) * (1 - c.Settled)})
+				cells = append(cells, openCell{Cell: c, left: d.Bucket(h.FailureDomain, b) * (1 - c.Shifted)})
 			}
 		}
 	}
@@ -235,9 +235,9 @@
 // the cap. The gate is charged for it.
 func (s *Stepper) finish(cells []openCell, left float64) {
 	for _, c := range cells {
-		*c.Cell = Cell{Site: c.Next, Next: c.Next}
+		*c.Cell = Cell{Site: c.Target, Target: c.Target}
 	}
-	s.gate.Spend(left)
+	s.gate.Debit(left)
 }
 
 // openSome opens cells in their order until they hold the wanted work.
@@ -256,12 +256,12 @@
 func (s *Stepper) aim(c *Cell, home string, bucket int) bool {
 	site := s.plan.SiteOf(home, bucket)
 	if site == "" {
-		return c.Next != c.Site
+		return c.Target != c.Site
 	}
-	if c.Next != site {
+	if c.Target != site {
 		c.aim(site)
 	}
-	return c.Next != c.Site
+	return c.Target != c.Site
 }
 
 func (s *Stepper) anyMoving() bool {
@@ -286,11 +286,11 @@
 			count++
 			c := &h.Cells[b]
 			site := s.plan.SiteOf(h.FailureDomain, b)
-			if c.Next == c.Site && (site == "" || site == c.Site) {
+			if c.Target == c.Site && (site == "" || site == c.Site) {
 				continue
 			}
 			buckets++
-			work += d.Of(h.FailureDomain, b) * (1 - c.Settled)
+			work += d.Bucket(h.FailureDomain, b) * (1 - c.Shifted)
 		}
 	}
 	if buckets == 0 {
--- a/move/stepper_test.go
+++ b/move/stepper_test.go
@@ -64,7 +64,7 @@
 		w.weights[b] /= total
 		buckets[b] = w.weights[b] * float64(perInterval)
 	}
-	w.stepper.Gate().Set(limit, float64(perInterval))
+	w.stepper.Limiter().SetCap(limit, float64(perInterval))
 	w.demand = Demand{Total: float64(perInterval), Homes: []HomeDemand{{FailureDomain: testHome, Buckets: buckets}}}
 	return w
 }
@@ -84,10 +84,10 @@
 	for range requests {
 		w.now = w.now.Add(testInterval / time.Duration(requests))
 		w.stepper.Tick(w.now, w.demand, true)
-		w.stepper.Gate().Arrive()
+		w.stepper.Limiter().CountArrival()
 		b := w.bucket()
 		cells := w.stepper.applied.Find(testHome)
-		site, _ := cells[b].Route(w.random.Float64(), w.stepper.Gate())
+		site, _ := cells[b].Route(w.random.Float64(), w.stepper.Limiter())
 		w.log = append(w.log, sent{at: w.now, bucket: b, site: site})
 	}
 }
@@ -112,7 +112,7 @@
 		const requests = 1000
 		w := newWorld(limit, requests, seed, skew)
 		w.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
-		w.stepper.Adopt(FromPlan(w.stepper.plan), w.now)
+		w.stepper.Initialize(FromPlan(w.stepper.plan), w.now)
 		w.pass(requests)
 		w.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
 		for range int(2/limit) + 2 {
@@ -146,7 +146,7 @@
 			c := qt.New(t)
 			w := newWorld(test.limit, test.requests, 7, test.skew)
 			w.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
-			w.stepper.Adopt(FromPlan(w.stepper.plan), w.now)
+			w.stepper.Initialize(FromPlan(w.stepper.plan), w.now)
 			w.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
 			least := 1 / test.limit
 			for range int(math.Ceil(test.most * least)) {
@@ -155,7 +155,7 @@
 			c.Assert(w.at("a", len(w.log)-test.requests/2, len(w.log)), qt.Equals, 0.0)
 			w.pass(test.requests)
 			w.stepper.Tick(w.now.Add(testInterval), w.demand, true)
-			step, left := w.stepper.Settled(w.demand)
+			step, left := w.stepper.Progress(w.demand)
 			c.Assert(step, qt.Equals, int64(2))
 			c.Assert(left, qt.Equals, 0.0)
 		})
@@ -166,7 +166,7 @@
 	c := qt.New(t)
 	w := newWorld(0.1, 1000, 1, 0)
 	w.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
-	w.stepper.Adopt(FromPlan(w.stepper.plan), w.now)
+	w.stepper.Initialize(FromPlan(w.stepper.plan), w.now)
 	w.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
 	c.Assert(w.stepper.Tick(w.now, w.demand, true), qt.IsTrue)
 	w.now = w.now.Add(5 * testInterval)
@@ -178,7 +178,7 @@
 	c := qt.New(t)
 	w := newWorld(0.2, 1000, 1, 0)
 	w.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
-	w.stepper.Adopt(FromPlan(w.stepper.plan), w.now)
+	w.stepper.Initialize(FromPlan(w.stepper.plan), w.now)
 	w.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
 	w.pass(1000)
 	held := planOf(2, []string{"a", "b"}, func(int) int { return 1 })
@@ -203,8 +203,8 @@
 	s.SetPlan(planOf(5, []string{"a"}, func(int) int { return 0 }))
 	s.SetPlan(planOf(4, []string{"b"}, func(int) int { return 0 }))
 	c.Assert(s.plan.Step, qt.Equals, int64(5))
-	s.Adopt(FromPlan(planOf(3, []string{"c"}, func(int) int { return 0 })), now)
-	s.Adopt(FromPlan(planOf(5, []string{"a"}, func(int) int { return 0 })), now)
+	s.Initialize(FromPlan(planOf(3, []string{"c"}, func(int) int { return 0 })), now)
+	s.Initialize(FromPlan(planOf(5, []string{"a"}, func(int) int { return 0 })), now)
 	applied := s.Applied()
 	c.Assert(applied.Find(testHome)[0].Site, qt.Equals, "c")
 }
--- a/peer/changes.go
+++ b/peer/changes.go
@@ -30,16 +30,16 @@
 // doesn't read would look to it like a row without a value: the sender keeps to what the peer
 // says that it reads, and a receiver takes in no form that it doesn't know.
 const (
-	// FormPlain has values as they are.
-	FormPlain int32 = iota
-	// FormZipped may have compressed values, differences from older ones and whole tables compressed.
-	FormZipped
-	// NewestForm is the newest form that this version reads.
-	NewestForm = FormZipped
+	// EncodingPlain has values as they are.
+	EncodingPlain int32 = iota
+	// EncodingCompressed may have compressed values, differences from older ones and whole tables compressed.
+	EncodingCompressed
+	// NewestEncoding is the newest form that this version reads.
+	NewestEncoding = EncodingCompressed
 )
 
-// BaseOf returns the older row that a receiver holds in place of a row, if it is known.
-type BaseOf func(r lovageyard.Row) (lovageyard.Row, bool)
+// BaseLookup returns the older row that a receiver holds in place of a row, if it is known.
+type BaseLookup func(r lovageyard.Row) (lovageyard.Row, bool)
 
 // NoBase knows of no older rows.
 func NoBase(lovageyard.Row) (lovageyard.Row, bool) { return lovageyard.Row{}, false }
@@ -47,12 +47,12 @@
 // FromChanges returns the wire form of changes; long values are compressed, as the rows
 // of plans repeat themselves.
 func FromChanges(c lovageyard.Changes) *wire.Changes {
-	return new(Packer).FromChanges(c, NoBase)
+	return new(Encoder).EncodeChanges(c, NoBase)
 }
 
-// Packer turns changes into their wire form. It compresses a value once for all peers that
+// Encoder turns changes into their wire form. It compresses a value once for all peers that
 // hold the same older one; it belongs to one goroutine.
-type Packer struct {
+type Encoder struct {
 	packed map[rowKey]*packedRow
 }
 
@@ -67,10 +67,10 @@
 	forms   map[int64][]byte
 }
 
-// FromChanges returns the wire form of changes. A value of which the receiver holds an older
+// EncodeChanges returns the wire form of changes. A value of which the receiver holds an older
 // one is sent as the difference: one route more in a configuration of 760 KB takes 0.2 KB,
 // 1,400 routes more take 24 KB, all of it 70 KB.
-func (p *Packer) FromChanges(c lovageyard.Changes, baseOf BaseOf) *wire.Changes {
+func (p *Encoder) EncodeChanges(c lovageyard.Changes, baseOf BaseLookup) *wire.Changes {
 	w := &wire.Changes{After: c.After, To: c.To}
 	for _, r := range c.Rows {
 		w.Rows = append(w.Rows, p.fromRow(r, baseOf))
@@ -78,7 +78,7 @@
 	return w
 }
 
-func (p *Packer) fromRow(r lovageyard.Row, baseOf BaseOf) *wire.Row {
+func (p *Encoder) fromRow(r lovageyard.Row, baseOf BaseLookup) *wire.Row {
 	w := plainRow(r)
 	if len(r.Value) < zipFrom {
 		return w
@@ -87,7 +87,7 @@
 	if !found {
 		base = lovageyard.Row{}
 	}
-	if zipped := p.zip(r, base); len(zipped) < len(r.Value) {
+	if zipped := p.compressRow(r, base); len(zipped) < len(r.Value) {
 		w.Value = nil
 		w.Zipped = zipped
 		w.Base = base.Version
@@ -95,8 +95,8 @@
 	return w
 }
 
-// zip returns the compressed value of a row, worked out once for each base.
-func (p *Packer) zip(r, base lovageyard.Row) []byte {
+// compressRow returns the compressed value of a row, worked out once for each base.
+func (p *Encoder) compressRow(r, base lovageyard.Row) []byte {
 	if p.packed == nil {
 		p.packed = make(map[rowKey]*packedRow)
 	}
@@ -108,19 +108,19 @@
 	}
 	zipped, found := known.forms[base.Version]
 	if !found {
-		zipped = zip(r.Value, base.Value)
+		zipped = compressDelta(r.Value, base.Value)
 		known.forms[base.Version] = zipped
 	}
 	return zipped
 }
 
-// Pack returns the changes of one table for a peer that reads a form. Many small rows are compressed
+// EncodeTable returns the changes of one table for a peer that reads a form. Many small rows are compressed
 // together, as they are much alike.
-func (p *Packer) Pack(table string, c lovageyard.Changes, baseOf BaseOf, reads int32) (*wire.TableChanges, error) {
-	if reads < FormZipped {
-		return &wire.TableChanges{Table: table, Changes: plainChanges(c), Form: FormPlain}, nil
+func (p *Encoder) EncodeTable(table string, c lovageyard.Changes, baseOf BaseLookup, reads int32) (*wire.TableChanges, error) {
+	if reads < EncodingCompressed {
+		return &wire.TableChanges{Table: table, Changes: plainChanges(c), Form: EncodingPlain}, nil
 	}
-	t := &wire.TableChanges{Table: table, Changes: p.FromChanges(c, baseOf), Form: FormZipped}
+	t := &wire.TableChanges{Table: table, Changes: p.EncodeChanges(c, baseOf), Form: EncodingCompressed}
 	if len(c.Rows) < packFrom {
 		return t, nil
 	}
@@ -128,8 +128,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "changes of "+table)
 	}
-	if packed := Zip(whole); len(packed) < len(whole) {
-		return &wire.TableChanges{Table: table, Packed: packed, Form: FormZipped}, nil
+	if packed := Compress(whole); len(packed) < len(whole) {
+		return &wire.TableChanges{Table: table, Packed: packed, Form: EncodingCompressed}, nil
 	}
 	return t, nil
 }
@@ -147,15 +147,15 @@
 	return &wire.Row{Table: r.Table, Key: r.Key, Version: r.Version, Value: r.Value, Deleted: r.Deleted}
 }
 
-// Unpack returns the changes that a peer has sent, or an error if they can't be read.
-func Unpack(t *wire.TableChanges) (*wire.Changes, error) {
-	if t.GetForm() > NewestForm {
+// DecodeTable returns the changes that a peer has sent, or an error if they can't be read.
+func DecodeTable(t *wire.TableChanges) (*wire.Changes, error) {
+	if t.GetForm() > NewestEncoding {
 		return nil, errors.Errorf("changes of %s: form %d is not read here", t.GetTable(), t.GetForm())
 	}
 	if len(t.GetPacked()) == 0 {
 		return t.GetChanges(), nil
 	}
-	whole, err := Unzip(t.GetPacked())
+	whole, err := Decompress(t.GetPacked())
 	if err != nil {
 		return nil, errors.Wrap(err, "changes of "+t.GetTable())
 	}
@@ -163,13 +163,13 @@
 	return changes, errors.Wrap(proto.Unmarshal(whole, changes), "changes of "+t.GetTable())
 }
 
-// Zip returns a compressed value.
-func Zip(value []byte) []byte {
-	return zip(value, nil)
+// Compress returns a compressed value.
+func Compress(value []byte) []byte {
+	return compressDelta(value, nil)
 }
 
-// zip returns a compressed value, as the difference from a base if that is not empty.
-func zip(value, base []byte) []byte {
+// compressDelta returns a compressed value, as the difference from a base if that is not empty.
+func compressDelta(value, base []byte) []byte {
 	if len(base) == 0 {
 		return wholeWriter().EncodeAll(value, nil)
 	}
@@ -220,7 +220,7 @@
 	if len(w.GetZipped()) == 0 {
 		return r, nil
 	}
-	value, err := unzip(w.GetZipped(), base)
+	value, err := decompressDelta(w.GetZipped(), base)
 	r.Value = value
 	return r, errors.Wrap(err, "row "+r.Table+"/"+r.Key)
 }
@@ -238,12 +238,12 @@
 	return c, nil
 }
 
-// Unzip returns the value of a compressed one, or an error if it is damaged or too large.
-func Unzip(zipped []byte) ([]byte, error) {
-	return unzip(zipped, nil)
+// Decompress returns the value of a compressed one, or an error if it is damaged or too large.
+func Decompress(zipped []byte) ([]byte, error) {
+	return decompressDelta(zipped, nil)
 }
 
-func unzip(zipped, base []byte) ([]byte, error) {
+func decompressDelta(zipped, base []byte) ([]byte, error) {
 	if len(base) == 0 {
 		value, err := wholeReader().DecodeAll(zipped, nil)
 		return value, errors.Wrap(err, "compressed value")
--- a/peer/changes_test.go
+++ b/peer/changes_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestBadRowsAreRefused(t *testing.T) {
-	bomb := Zip(make([]byte, maxValue+1))
+	bomb := Compress(make([]byte, maxValue+1))
 	for _, zipped := range [][]byte{[]byte("no zstd"), bomb, bomb[:len(bomb)/2]} {
 		c := qt.New(t)
 		_, err := ToChanges(&wire.Changes{Rows: []*wire.Row{{Table: "plans", Key: "bad", Zipped: zipped}}})
@@ -53,7 +53,7 @@
 		}
 		older := lovageyard.Row{Table: "orders", Key: "config", Version: 3, Value: base}
 		newer := lovageyard.Row{Table: "orders", Key: "config", Version: 7, Value: value}
-		sent := new(Packer).FromChanges(lovageyard.Changes{To: 7, Rows: []lovageyard.Row{newer}},
+		sent := new(Encoder).EncodeChanges(lovageyard.Changes{To: 7, Rows: []lovageyard.Row{newer}},
 			func(lovageyard.Row) (lovageyard.Row, bool) { return older, true })
 		got, err := ToRow("orders", sent.GetRows()[0], base)
 		c.Assert(err, qt.IsNil)
@@ -73,14 +73,14 @@
 // A configuration of 1 MB is not compressed anew for each of the peers that lack it.
 func TestValueIsCompressedOnceForEachBase(t *testing.T) {
 	c := qt.New(t)
-	p := new(Packer)
+	p := new(Encoder)
 	row := lovageyard.Row{Table: "orders", Key: "config", Version: 7, Value: textOf(10_000)}
 	changes := lovageyard.Changes{To: 7, Rows: []lovageyard.Row{row}}
-	first := p.FromChanges(changes, NoBase).GetRows()[0].GetZipped()
-	second := p.FromChanges(changes, NoBase).GetRows()[0].GetZipped()
+	first := p.EncodeChanges(changes, NoBase).GetRows()[0].GetZipped()
+	second := p.EncodeChanges(changes, NoBase).GetRows()[0].GetZipped()
 	c.Assert(&first[0], qt.Equals, &second[0])
 	row.Version, row.Value = 8, textOf(9_000)
-	third := p.FromChanges(lovageyard.Changes{To: 8, Rows: []lovageyard.Row{row}}, NoBase)
+	third := p.EncodeChanges(lovageyard.Changes{To: 8, Rows: []lovageyard.Row{row}}, NoBase)
 	got, err := ToRow("orders", third.GetRows()[0], nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(got, qt.DeepEquals, row)
@@ -88,16 +88,16 @@
 
 func TestAppliedKeepsItsCells(t *testing.T) {
 	c := qt.New(t)
-	want := move.Applied{Step: 4}
+	want := move.Placement{Step: 4}
 	home := move.Home{FailureDomain: "a"}
 	for b := range lovageyard.Buckets {
-		home.Cells = append(home.Cells, move.Cell{Site: "one", Next: "two", Settled: float64(b) / lovageyard.Buckets, Moving: b%2 == 0})
+		home.Cells = append(home.Cells, move.Cell{Site: "one", Target: "two", Shifted: float64(b) / lovageyard.Buckets, Moving: b%2 == 0})
 	}
 	want.Homes = append(want.Homes, home)
-	c.Assert(ToApplied(FromApplied("class", want)), qt.DeepEquals, want)
-	bad := FromApplied("class", want)
+	c.Assert(ToPlacement(FromPlacement("class", want)), qt.DeepEquals, want)
+	bad := FromPlacement("class", want)
 	bad.Homes[0].Cells[5].Site = 99
-	c.Assert(ToApplied(bad).Homes, qt.HasLen, 0)
+	c.Assert(ToPlacement(bad).Homes, qt.HasLen, 0)
 }
 
 func TestRatesKeepTheirSize(t *testing.T) {
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -31,7 +31,7 @@
 func FromSteps(steps []instance.Step) []*wire.Step {
 	var out []*wire.Step
 	for _, s := range steps {
-		out = append(out, &wire.Step{Class: s.Class, Begun: s.Begun, Settled: s.Settled, Left: float32(s.Left)})
+		out = append(out, &wire.Step{Class: s.Class, Begun: s.Started, Settled: s.Completed, Left: float32(s.Remaining)})
 	}
 	return out
 }
@@ -40,7 +40,7 @@
 func ToSteps(steps []*wire.Step) []instance.Step {
 	var out []instance.Step
 	for _, s := range steps {
-		out = append(out, instance.Step{Class: s.GetClass(), Begun: s.GetBegun(), Settled: s.GetSettled(), Left: float64(s.GetLeft())})
+		out = append(out, instance.Step{Class: s.GetClass(), Started: s.GetBegun(), Completed: s.GetSettled(), Remaining: float64(s.GetLeft())})
 	}
 	return out
 }
@@ -63,8 +63,8 @@
 	return m
 }
 
-// FromApplied returns the wire form of the placement that is applied for a class.
-func FromApplied(class string, a move.Applied) *wire.Applied {
+// FromPlacement returns the wire form of the placement that is applied for a class.
+func FromPlacement(class string, a move.Placement) *wire.Applied {
 	w := &wire.Applied{Class: class, Step: a.Step}
 	positions := make(map[string]int32)
 	position := func(site string) int32 {
@@ -81,8 +81,8 @@
 		for _, c := range h.Cells {
 			home.Cells = append(home.Cells, &wire.Cell{
 				Site:    position(c.Site),
-				Next:    position(c.Next),
-				Settled: float32(c.Settled),
+				Next:    position(c.Target),
+				Settled: float32(c.Shifted),
 				Moving:  c.Moving,
 			})
 		}
@@ -91,10 +91,10 @@
 	return w
 }
 
-// ToApplied returns the placement of a wire message; homes whose cells are not
+// ToPlacement returns the placement of a wire message; homes whose cells are not
 // complete or name no known site are left out.
-func ToApplied(w *wire.Applied) move.Applied {
-	a := move.Applied{Step: w.GetStep()}
+func ToPlacement(w *wire.Applied) move.Placement {
+	a := move.Placement{Step: w.GetStep()}
 	for _, h := range w.GetHomes() {
 		home := move.Home{FailureDomain: h.GetFailureDomain()}
 		for _, c := range h.GetCells() {
@@ -103,8 +103,8 @@
 			}
 			home.Cells = append(home.Cells, move.Cell{
 				Site:    w.Sites[c.GetSite()],
-				Next:    w.Sites[c.GetNext()],
-				Settled: float64(c.GetSettled()),
+				Target:  w.Sites[c.GetNext()],
+				Shifted: float64(c.GetSettled()),
 				Moving:  c.GetMoving(),
 			})
 		}
--- a/placement/conclude.go
+++ b/placement/conclude.go
@@ -15,7 +15,7 @@
 	case r.changes() > 0:
 		m := r.move()
 		return Output{Plan: r.plan(m), Changed: true, Reason: m.Reason}
-	case r.in.Current.Step > r.in.Reached:
+	case r.in.Current.Step > r.in.AppliedStep:
 		return r.follow()
 	case r.held > 0:
 		return r.hold(r.holdReason())
@@ -98,7 +98,7 @@
 	m := &lovageyard.Move{
 		Class:     r.in.Class.Name,
 		State:     lovageyard.MoveShifting,
-		Remaining: max(r.openShare(), r.in.Left),
+		Remaining: max(r.openShare(), r.in.Remaining),
 		StartedAt: r.in.Now,
 		EmptyBy:   r.emptyBy(),
 		Reason:    "work moves within the cap",
--- a/placement/input.go
+++ b/placement/input.go
@@ -30,20 +30,20 @@
 
 // Latencies are the one-way times that placement reckons with.
 type Latencies struct {
-	SameDomain time.Duration
-	SameRegion time.Duration
-	Else       time.Duration
+	SameDomain  time.Duration
+	SameRegion  time.Duration
+	OtherRegion time.Duration
 }
 
-// Of returns the latency from a home failure domain to a site.
-func (l Latencies) Of(h Home, s Site) time.Duration {
+// Between returns the latency from a home failure domain to a site.
+func (l Latencies) Between(h Home, s Site) time.Duration {
 	switch {
 	case h.FailureDomain == s.FailureDomain:
 		return l.SameDomain
 	case h.Region == s.Region:
 		return l.SameRegion
 	}
-	return l.Else
+	return l.OtherRegion
 }
 
 // Input is all that one round of placement looks at.
@@ -58,11 +58,11 @@
 	Headroom float64
 	// Current is the plan in force; its Step is 0 if there is none.
 	Current lovageyard.ClassPlan
-	// Reached is the plan step that all live entry instances apply in full.
-	Reached int64
-	// Left is the largest share of work that one of them still has to move.
-	Left  float64
-	Epoch int64
+	// AppliedStep is the plan step that all live entry instances apply in full.
+	AppliedStep int64
+	// Remaining is the largest share of work that one of them still has to move.
+	Remaining float64
+	Epoch     int64
 }
 
 // Output is the result of one round.
--- a/placement/round.go
+++ b/placement/round.go
@@ -10,10 +10,10 @@
 
 // Rules of placement.
 const (
-	// FreshFor is the age up to which a measurement is taken at its word.
-	FreshFor = 12 * time.Second
-	// StaleAfter is the age from which on a site gains no work.
-	StaleAfter = 30 * time.Second
+	// FreshAge is the age up to which a measurement is taken at its word.
+	FreshAge = 12 * time.Second
+	// StaleAge is the age from which on a site gains no work.
+	StaleAge = 30 * time.Second
 	// maxMargin is the share of capacity held back from a site whose measurement is about to be stale.
 	maxMargin = 0.2
 	// gainNeeded is the latency that a voluntary move has to save.
@@ -72,7 +72,7 @@
 		}
 		r.current[i] = translate(placed.Buckets, known)
 		r.from[i] = slices.Clone(r.current[i])
-		if in.Reached < in.Current.Step {
+		if in.AppliedStep < in.Current.Step {
 			r.markOrigins(i, translate(placed.From, known))
 		}
 		r.order[i] = byDemand(h)
@@ -161,15 +161,15 @@
 
 // margin returns the share of capacity held back for the age of a measurement.
 func margin(age time.Duration) float64 {
-	if age <= FreshFor {
+	if age <= FreshAge {
 		return 0
 	}
-	return min(maxMargin, maxMargin*float64(age-FreshFor)/float64(StaleAfter-FreshFor))
+	return min(maxMargin, maxMargin*float64(age-FreshAge)/float64(StaleAge-FreshAge))
 }
 
 // gains says whether a site may be given work that brings so much demand.
 func (r *round) gains(site int, demand float64) bool {
-	return r.eligible[site] && r.sites[site].Age < StaleAfter && r.room[site] >= demand
+	return r.eligible[site] && r.sites[site].Age < StaleAge && r.room[site] >= demand
 }
 
 // ranked returns the sites in the order of their latency from a home, by name among equals.
@@ -190,7 +190,7 @@
 }
 
 func (r *round) latency(h Home, site int) time.Duration {
-	return r.in.Latencies.Of(h, r.sites[site])
+	return r.in.Latencies.Between(h, r.sites[site])
 }
 
 // first places every bucket where the least latency and the capacity put it.
--- a/placement/round_test.go
+++ b/placement/round_test.go
@@ -44,7 +44,7 @@
 		},
 		Sites:     sites(capacity),
 		Homes:     homes(demand),
-		Latencies: Latencies{SameRegion: 2 * time.Millisecond, Else: 35 * time.Millisecond},
+		Latencies: Latencies{SameRegion: 2 * time.Millisecond, OtherRegion: 35 * time.Millisecond},
 		Headroom:  0.2,
 	}
 }
@@ -109,7 +109,7 @@
 			state: lovageyard.MoveShifting, inTime: true, reason: "work moves within the cap"},
 		{name: "site not in the target", change: func(in *Input) { in.Class.Target.Sites = []string{"b1"} }, empty: "a1", goal: "b1",
 			state: lovageyard.MoveShifting, inTime: true, reason: "work moves within the cap"},
-		{name: "nearest site is stale", change: func(in *Input) { drain("a1", time.Time{})(in); in.Sites[1].Age = StaleAfter }, empty: "a1", goal: "b1",
+		{name: "nearest site is stale", change: func(in *Input) { drain("a1", time.Time{})(in); in.Sites[1].Age = StaleAge }, empty: "a1", goal: "b1",
 			state: lovageyard.MoveShifting, inTime: true, reason: "work moves within the cap"},
 		{name: "nearest site is of unknown capacity", change: func(in *Input) { drain("a1", time.Time{})(in); in.Sites[1].Capacity = 0 }, empty: "a1", goal: "b1",
 			state: lovageyard.MoveShifting, inTime: true, reason: "work moves within the cap"},
@@ -123,7 +123,7 @@
 			c := qt.New(t)
 			in := input(1000, 100)
 			in.Current = Round(in).Plan
-			in.Reached = 1
+			in.AppliedStep = 1
 			test.change(&in)
 			out := Round(in)
 			c.Assert(out.Reason, qt.Matches, test.reason)
@@ -161,10 +161,10 @@
 	c := qt.New(t)
 	in := input(1000, 100)
 	in.Current = Round(in).Plan
-	in.Reached = 1
+	in.AppliedStep = 1
 	in.Orders = []lovageyard.SiteOrder{{Site: "a1", Draining: true}}
 	in.Current = Round(in).Plan
-	in.Left = 0.8
+	in.Remaining = 0.8
 	c.Assert(Round(in).Changed, qt.IsFalse)
 	in.Sites[1].Capacity = 150
 	in.Sites[2].Capacity = 120
@@ -177,7 +177,7 @@
 	in.Sites[2].Capacity = 1000
 	in.Current = Round(in).Plan
 	c.Assert(in.Current.Move.State, qt.Equals, lovageyard.MoveShifting)
-	in.Reached = in.Current.Step
+	in.AppliedStep = in.Current.Step
 	over := Round(in)
 	c.Assert(over.Plan.Move, qt.IsNil)
 	c.Assert(over.Plan.OriginOf("a1", 0), qt.Equals, "")
@@ -187,7 +187,7 @@
 	c := qt.New(t)
 	in := input(250, 100)
 	in.Current = Round(in).Plan
-	in.Reached = 1
+	in.AppliedStep = 1
 	in.Orders = []lovageyard.SiteOrder{{Site: "a1", Draining: true}}
 	in.Current = Round(in).Plan
 	// The work of home a1 has not left yet, so that its site has no room for that of b1.
@@ -200,10 +200,10 @@
 	c := qt.New(t)
 	in := input(1000, 100)
 	in.Current = Round(in).Plan
-	in.Reached = 1
+	in.AppliedStep = 1
 	in.Orders = []lovageyard.SiteOrder{{Site: "a1", Draining: true}}
 	in.Current = Round(in).Plan
-	in.Reached = in.Current.Step
+	in.AppliedStep = in.Current.Step
 	in.Orders = nil
 	in.Latencies.SameRegion = gainNeeded
 	out := Round(in)
@@ -231,7 +231,7 @@
 			in.Sites = append(in.Sites, Site{Name: fmt.Sprintf("site-%03d", n), FailureDomain: h.FailureDomain, Region: h.Region, Capacity: 1000, Alive: true})
 		}
 		in.Current = Round(in).Plan
-		in.Reached = 1
+		in.AppliedStep = 1
 		b.Run(size.name+"/at rest", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -137,11 +137,11 @@
 			continue
 		}
 		for request := range c.sentAt {
-			digest ^= instance.Mix(server.hash() ^ request)
+			digest ^= instance.MixHash(server.hash() ^ request)
 		}
 	}
 	for request := range t.cleared {
-		digest ^= instance.Mix(request)
+		digest ^= instance.MixHash(request)
 	}
 	return digest
 }
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -51,5 +51,5 @@
 
 // hash returns a number that stands for a life of a server.
 func (s Server) hash() uint64 {
-	return instance.Mix(xxhash.Sum64String(s.Name) ^ uint64(s.Life))
+	return instance.MixHash(xxhash.Sum64String(s.Name) ^ uint64(s.Life))
 }
--- a/quota/order.go
+++ b/quota/order.go
@@ -69,7 +69,7 @@
 			names = append(names, name)
 		}
 	}
-	return instance.Choose(names, ownersKey, len(names))
+	return instance.Rendezvous(names, ownersKey, len(names))
 }
 
 // owners returns the number of places that accounts are shared by.
--- a/route/snapshot.go
+++ b/route/snapshot.go
@@ -22,31 +22,31 @@
 	Classes   *class.Index
 	Blocks    *block.Table
 	Directory *instance.Directory
-	// Works are in the order of Classes.
-	Works []Work
+	// ClassRoutes are in the order of Classes.
+	ClassRoutes []ClassRoute
 }
 
-// Work returns what is known of the class of a name, or nil.
-func (s *Snapshot) Work(name string) *Work {
-	for i := range s.Works {
-		if s.Works[i].Class.Name == name {
-			return &s.Works[i]
+// ClassRoute returns what is known of the class of a name, or nil.
+func (s *Snapshot) ClassRoute(name string) *ClassRoute {
+	for i := range s.ClassRoutes {
+		if s.ClassRoutes[i].Class.Name == name {
+			return &s.ClassRoutes[i]
 		}
 	}
 	return nil
 }
 
 // Match returns the work that a request is part of, or nil.
-func (s *Snapshot) Match(r *http.Request) *Work {
+func (s *Snapshot) Match(r *http.Request) *ClassRoute {
 	found := s.Classes.Find(r)
 	if found == nil {
 		return nil
 	}
-	return s.Work(found.Name)
+	return s.ClassRoute(found.Name)
 }
 
-// Place returns the place of a client, and its home failure domain.
-func (s *Snapshot) Place(client netip.Addr) (place block.Place, home string) {
+// Locate returns the place of a client, and its home failure domain.
+func (s *Snapshot) Locate(client netip.Addr) (place block.Location, home string) {
 	p := s.Blocks.Find(client)
 	if p.Home == "" {
 		return p, s.Home
@@ -56,6 +56,6 @@
 
 // LookUp ranks the entry instances for a client; it allocates nothing.
 func (s *Snapshot) LookUp(client netip.Addr) instance.Ranking {
-	p, home := s.Place(client)
+	p, home := s.Locate(client)
 	return s.Directory.Rank(home, p.Hash)
 }
--- a/route/work.go
+++ b/route/work.go
@@ -14,17 +14,17 @@
 
 // Reasons of a choice of site.
 const (
-	ReasonPlan     = "plan"
-	ReasonMoving   = "moving"
-	ReasonUnplaced = "no plan yet; own failure domain"
-	ReasonGrant    = "own site takes no work; grant"
+	ReasonPlan   = "plan"
+	ReasonMoving = "moving"
+	ReasonNoPlan = "no plan yet; own failure domain"
+	ReasonGrant  = "own site takes no work; grant"
 )
 
 // retryAfterNoSite is when a caller whose work has no site should come back.
 const retryAfterNoSite = time.Second
 
-// HomeCount counts the requests of one home failure domain, bucket by bucket.
-type HomeCount struct {
+// HomeCounter counts the requests of one home failure domain, bucket by bucket.
+type HomeCounter struct {
 	FailureDomain string
 	Buckets       [lovageyard.Buckets]atomic.Uint64
 }
@@ -37,16 +37,16 @@
 	Local     bool
 }
 
-// Work is what traffic needs of one class. Its pointers lead to parts that outlive the
+// ClassRoute is what traffic needs of one class. Its pointers lead to parts that outlive the
 // snapshot; all else is immutable.
-type Work struct {
-	Class  lovageyard.Class
-	Step   int64
-	Gate   *move.Gate
-	Forced *move.Gate
-	Budget *server.Budget
-	Counts []*HomeCount
-	Homes  []move.Home
+type ClassRoute struct {
+	Class           lovageyard.Class
+	Step            int64
+	Limiter         *move.Limiter
+	FailoverLimiter *move.Limiter
+	Budget          *server.Budget
+	HomeCounts      []*HomeCounter
+	Homes           []move.Home
 	// Sites are in the order of their distance from this instance.
 	Sites []Site
 }
@@ -62,13 +62,13 @@
 	RetryAfter time.Duration
 }
 
-// Count counts one request of the class.
-func (w *Work) Count(p block.Place, home string) {
-	w.Gate.Arrive()
-	if w.Forced != w.Gate {
-		w.Forced.Arrive()
+// CountRequest counts one request of the class.
+func (w *ClassRoute) CountRequest(p block.Location, home string) {
+	w.Limiter.CountArrival()
+	if w.FailoverLimiter != w.Limiter {
+		w.FailoverLimiter.CountArrival()
 	}
-	for _, c := range w.Counts {
+	for _, c := range w.HomeCounts {
 		if c.FailureDomain == home {
 			c.Buckets[p.Bucket].Add(1)
 			return
@@ -76,13 +76,13 @@
 	}
 }
 
-// Choose returns the site for a request of a block with a home failure domain.
-func (w *Work) Choose(p block.Place, home string, now time.Time) Choice {
+// ChooseSite returns the site for a request of a block with a home failure domain.
+func (w *ClassRoute) ChooseSite(p block.Location, home string, now time.Time) Choice {
 	cells := w.cells(home)
 	if cells == nil {
 		return w.local()
 	}
-	name, moved := cells[p.Bucket].Route(rand.Float64(), w.Gate)
+	name, moved := cells[p.Bucket].Route(rand.Float64(), w.Limiter)
 	site := w.site(name)
 	if site != nil && site.Pool.TakesWork() {
 		return Choice{Site: name, Pool: site.Pool, Moved: moved, Reason: reasonOf(moved)}
@@ -98,7 +98,7 @@
 }
 
 // failOver sends a request whose site takes no work where a grant and the cap allow.
-func (w *Work) failOver(from string, now time.Time) Choice {
+func (w *ClassRoute) failOver(from string, now time.Time) Choice {
 	for i := range w.Sites {
 		s := &w.Sites[i]
 		if s.Name == from || !s.Pool.TakesWork() || !s.Allowance.Take(now) {
@@ -112,19 +112,19 @@
 	return refusal("site "+from+" takes no work, and no grant is left", retryAfterNoSite)
 }
 
-func (w *Work) takeForced() bool {
-	if w.Gate.TakeForced() {
+func (w *ClassRoute) takeForced() bool {
+	if w.Limiter.AllowFailover() {
 		return true
 	}
-	return w.Forced != w.Gate && w.Forced.TakeForced()
+	return w.FailoverLimiter != w.Limiter && w.FailoverLimiter.AllowFailover()
 }
 
 // local serves from the own failure domain while no placement is known.
-func (w *Work) local() Choice {
+func (w *ClassRoute) local() Choice {
 	for i := range w.Sites {
 		s := &w.Sites[i]
 		if s.Local && s.Pool.TakesWork() {
-			return Choice{Site: s.Name, Pool: s.Pool, Reason: ReasonUnplaced}
+			return Choice{Site: s.Name, Pool: s.Pool, Reason: ReasonNoPlan}
 		}
 	}
 	return refusal("no plan is known, and no site of this failure domain takes work", retryAfterNoSite)
@@ -134,7 +134,7 @@
 	return Choice{Err: lovageyard.NotRun(reason, nil), RetryAfter: after}
 }
 
-func (w *Work) cells(home string) []move.Cell {
+func (w *ClassRoute) cells(home string) []move.Cell {
 	for i := range w.Homes {
 		if w.Homes[i].FailureDomain == home {
 			return w.Homes[i].Cells
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (w *Work) site(name string) *Site {
+func (w *ClassRoute) site(name string) *Site {
 	for i := range w.Sites {
 		if w.Sites[i].Name == name {
 			return &w.Sites[i]
