--- a/catalog/life_test.go
+++ b/catalog/life_test.go
@@ -12,14 +12,14 @@
 	"lovageyard.example/lovageyard/catalog"
 )
 
-// lifeRow is the entry of one life of a server.
-func lifeRow(c *qt.C, name string, version, life int64, state lovageyard.InstanceState) lovageyard.Row {
-	server := desk(name, state)
+// incarnationRow returns the entry of one incarnation of a server.
+func incarnationRow(c *qt.C, name string, version, life int64, state lovageyard.InstanceState) lovageyard.Row {
+	server := newServer(name, state)
 	server.Life = life
 	return row(c, lovageyard.TableServers, name, version, server)
 }
 
-// find returns a server of the present view, or nil.
+// find returns a server of the current snapshot, or nil.
 func find(s *catalog.State, name string) *catalog.Server {
 	for _, server := range s.Snapshot().Servers {
 		if server.Name == name {
@@ -29,107 +29,107 @@
 	return nil
 }
 
-// A server that starts again under its name is not leaving any more, and has lost its caches.
-func TestRestartUnderTheSameNameIsANewLife(t *testing.T) {
+// A server that restarts under the same name must not stay in state leaving, and has lost its caches.
+func TestRestartUnderTheSameNameIsANewIncarnation(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
-	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, lifeRow(c, "a", 11, 100, lovageyard.StateLive)), start)
-	s.ApplyChanges(lovageyard.TableServers, changes(11, 12, lifeRow(c, "a", 12, 100, lovageyard.StateLeaving)), start)
-	// Its own life never takes it back.
-	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, lifeRow(c, "a", 13, 100, lovageyard.StateLive)), start)
+	s := populatedState(c, start)
+	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, incarnationRow(c, "a", 11, 100, lovageyard.StateLive)), start)
+	s.ApplyChanges(lovageyard.TableServers, changes(11, 12, incarnationRow(c, "a", 12, 100, lovageyard.StateLeaving)), start)
+	// The same incarnation can't become live again.
+	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, incarnationRow(c, "a", 13, 100, lovageyard.StateLive)), start)
 	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLeaving)
 	later := start.Add(time.Minute)
-	s.ApplyChanges(lovageyard.TableServers, changes(13, 14, lifeRow(c, "a", 14, 200, lovageyard.StateLive)), later)
+	s.ApplyChanges(lovageyard.TableServers, changes(13, 14, incarnationRow(c, "a", 14, 200, lovageyard.StateLive)), later)
 	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
 	c.Assert(find(s, "a").ColdUntil, qt.Equals, later.Add(3*time.Second))
 }
 
-// An entry with a start after one without it is that of a server which was started anew.
-func TestServerThatBeginsToTellItsStartIsANewLife(t *testing.T) {
+// An entry with a start time that follows one without it comes from a restarted server.
+func TestFirstEntryWithAStartTimeIsANewIncarnation(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	later := start.Add(time.Minute)
-	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, lifeRow(c, "a", 11, 100, lovageyard.StateLive)), later)
+	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, incarnationRow(c, "a", 11, 100, lovageyard.StateLive)), later)
 	c.Assert(find(s, "a").ColdUntil, qt.Equals, later.Add(3*time.Second))
 }
 
-// The clock of a server may go back between two lives: the order is that of the platform's versions.
-func TestLivesAreOrderedByThePlatform(t *testing.T) {
+// The clock of a server may step back between two incarnations, so the platform's versions order them.
+func TestIncarnationsAreOrderedByPlatformVersion(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
-	s.ApplyChanges(lovageyard.TableServers, changes(10, 20, lifeRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
-	s.ApplyChanges(lovageyard.TableServers, changes(20, 30, lifeRow(c, "a", 30, 100, lovageyard.StateLive)), start)
+	s := populatedState(c, start)
+	s.ApplyChanges(lovageyard.TableServers, changes(10, 20, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
+	s.ApplyChanges(lovageyard.TableServers, changes(20, 30, incarnationRow(c, "a", 30, 100, lovageyard.StateLive)), start)
 	c.Assert(find(s, "a").Life, qt.Equals, int64(100))
 	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
-	// Late word of the life before changes nothing, whoever passes it on.
-	s.ApplyChanges(lovageyard.TableServers, changes(0, 25, lifeRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
-	s.ApplyList(lovageyard.TableServers, changes(0, 30, lifeRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
+	// A late report of the previous incarnation changes nothing, whoever sends it.
+	s.ApplyChanges(lovageyard.TableServers, changes(0, 25, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
+	s.ApplyList(lovageyard.TableServers, changes(0, 30, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
 	c.Assert(find(s, "a").Life, qt.Equals, int64(100))
 	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
 }
 
-// garbage is a row that no decoder understands.
-func garbage(name string, version int64) lovageyard.Row {
+// undecodableRow returns a row that no decoder accepts.
+func undecodableRow(name string, version int64) lovageyard.Row {
 	return lovageyard.Row{Table: lovageyard.TableServers, Key: name, Version: version, Value: []byte{0xff, '{'}}
 }
 
-// An entry that can't be understood names no server; the last good one is not used in its place.
-func TestEntryOfAnotherWriterNamesNoServer(t *testing.T) {
+// An entry that can't be decoded removes the server; the last valid entry is not used in its place.
+func TestInvalidEntryRemovesTheServer(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	later := start.Add(time.Minute)
-	applied, faults := s.ApplyChanges(lovageyard.TableServers, changes(10, 12, garbage("a", 11), lifeRow(c, "b", 12, 1, lovageyard.StateLive)), later)
+	applied, invalid := s.ApplyChanges(lovageyard.TableServers, changes(10, 12, undecodableRow("a", 11), incarnationRow(c, "b", 12, 1, lovageyard.StateLive)), later)
 	c.Assert(applied, qt.IsTrue)
-	c.Assert(faults, qt.HasLen, 1)
+	c.Assert(invalid, qt.HasLen, 1)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
 	c.Assert(s.Cursor(lovageyard.TableServers), qt.Equals, int64(12))
-	// It is told once for each version, and passed on to peers.
-	_, faults = s.ApplyChanges(lovageyard.TableServers, changes(10, 12, garbage("a", 11)), later)
-	c.Assert(faults, qt.HasLen, 0)
+	// It is reported once for each version, and passed on to peers.
+	_, invalid = s.ApplyChanges(lovageyard.TableServers, changes(10, 12, undecodableRow("a", 11)), later)
+	c.Assert(invalid, qt.HasLen, 0)
 	c.Assert(s.ChangesSince(lovageyard.TableServers, 10).Rows, qt.HasLen, 2)
-	// An older good entry does not come back, a newer one does, and its caches are what they were.
-	s.ApplyList(lovageyard.TableServers, changes(0, 12, serverRow(c, "a", 3, lovageyard.StateLive), lifeRow(c, "b", 12, 1, lovageyard.StateLive)), later)
+	// An older valid entry is not used again; a newer one is, without another warm-up.
+	s.ApplyList(lovageyard.TableServers, changes(0, 12, serverRow(c, "a", 3, lovageyard.StateLive), incarnationRow(c, "b", 12, 1, lovageyard.StateLive)), later)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
 	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, serverRow(c, "a", 13, lovageyard.StateLive)), later)
 	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
 	c.Assert(find(s, "a").ColdUntil.After(later), qt.IsFalse)
 }
 
-// An outage does not keep an entry of another writer alive.
-func TestEntryOfAnotherWriterIsNotKeptThroughAnOutage(t *testing.T) {
+// An entry that can't be decoded removes the server immediately, also during an outage.
+func TestInvalidEntryIsNotKeptThroughAnOutage(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	s.MarkUnreadable(lovageyard.TableServers)
-	s.ApplyList(lovageyard.TableServers, changes(0, 12, garbage("a", 11), serverRow(c, "b", 4, lovageyard.StateLive)), start)
+	s.ApplyList(lovageyard.TableServers, changes(0, 12, undecodableRow("a", 11), serverRow(c, "b", 4, lovageyard.StateLive)), start)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
 }
 
-// A server that has told its start does so in each entry.
-func TestEntryWithoutItsStartNamesNoServer(t *testing.T) {
+// A server whose entry had a start time has one in each later entry.
+func TestEntryWithoutStartTimeRemovesTheServer(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
-	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, lifeRow(c, "a", 11, 100, lovageyard.StateLive)), start)
+	s := populatedState(c, start)
+	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, incarnationRow(c, "a", 11, 100, lovageyard.StateLive)), start)
 	s.ApplyChanges(lovageyard.TableServers, changes(11, 12, serverRow(c, "a", 12, lovageyard.StateLive)), start)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
-	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, lifeRow(c, "a", 13, 100, lovageyard.StateLive)), start)
+	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, incarnationRow(c, "a", 13, 100, lovageyard.StateLive)), start)
 	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
 }
 
-// A configuration that can't be understood never replaces a good one, and is told once.
-func TestBadConfigurationIsToldOnce(t *testing.T) {
+// A configuration that can't be decoded never replaces a valid one, and is reported once.
+func TestInvalidConfigurationIsReportedOnce(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	bad := lovageyard.Row{Table: lovageyard.TableOrders, Key: "config", Version: 12, Value: []byte("[")}
-	_, faults := s.ApplyChanges(lovageyard.TableOrders, changes(10, 12, bad), start)
-	c.Assert(faults, qt.HasLen, 1)
-	faults = s.ApplyList(lovageyard.TableOrders, changes(0, 13, bad), start)
-	c.Assert(faults, qt.HasLen, 0)
+	_, invalid := s.ApplyChanges(lovageyard.TableOrders, changes(10, 12, bad), start)
+	c.Assert(invalid, qt.HasLen, 1)
+	invalid = s.ApplyList(lovageyard.TableOrders, changes(0, 13, bad), start)
+	c.Assert(invalid, qt.HasLen, 0)
 	c.Assert(s.Snapshot().Version(), qt.Equals, uint64(7))
 }
 
-// Whatever writers write, and in whatever order and form rows come, the newest row of each
-// key decides: a server of an understandable one, none of another.
-func TestNewestEntryDecidesWhateverComes(t *testing.T) {
+// Whatever is written, and in whatever order and form rows arrive, the newest row of each key
+// decides: if it can be decoded the server is used, otherwise not.
+func TestNewestEntryWinsInAnyOrder(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
 		const keys = "abc"
@@ -140,10 +140,10 @@
 			case 0:
 				history = append(history, removed(lovageyard.TableServers, key, version))
 			case 1:
-				history = append(history, garbage(key, version))
+				history = append(history, undecodableRow(key, version))
 			default:
 				life := int64(rapid.IntRange(1, 3).Draw(t, "life"))
-				history = append(history, lifeRow(c, key, version, life, lovageyard.StateLive))
+				history = append(history, incarnationRow(c, key, version, life, lovageyard.StateLive))
 			}
 		}
 		s := catalog.NewState(jsonDecoder{})
--- a/catalog/older_test.go
+++ b/catalog/older_test.go
@@ -11,16 +11,16 @@
 	"lovageyard.example/lovageyard/catalog"
 )
 
-// anything decodes every row to a record that changes nothing.
-type anything struct{}
+// ignoringDecoder accepts every row and returns an empty record.
+type ignoringDecoder struct{}
 
-func (anything) Decode(r lovageyard.Row) (lovageyard.Record, error) {
+func (ignoringDecoder) Decode(r lovageyard.Row) (lovageyard.Record, error) {
 	return lovageyard.Record{Key: r.Key, Version: r.Version}, nil
 }
 
-func TestOlderValuesOfLargeRowsAreKept(t *testing.T) {
+func TestPreviousValuesOfLargeRowsAreKept(t *testing.T) {
 	c := qt.New(t)
-	s := catalog.NewState(anything{})
+	s := catalog.NewState(ignoringDecoder{})
 	put := func(version int64, size int) lovageyard.Row {
 		r := lovageyard.Row{Table: lovageyard.TableOrders, Key: "config", Version: version, Value: bytes.Repeat([]byte{byte(version)}, size)}
 		applied, _ := s.ApplyChanges(r.Table, lovageyard.Changes{After: s.Cursor(r.Table), To: version, Rows: []lovageyard.Row{r}}, time.Time{})
@@ -46,7 +46,7 @@
 	_, found = s.ValueAt(lovageyard.TableOrders, "config", 11)
 	c.Assert(found, qt.IsFalse)
 
-	// What is kept is bounded.
+	// The oldest values are dropped beyond the limit.
 	for version := int64(40); version < 80; version += 10 {
 		last = put(version, 5<<20)
 	}
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -10,33 +10,34 @@
 	"lovageyard.example/lovageyard/account"
 )
 
-// Server is a backend server and until when it is to be spared.
+// Server is a backend server, with the time at which its warm-up ends.
 type Server struct {
 	lovageyard.BackendServer
 	ColdUntil time.Time
 }
 
-// Snapshot is an immutable view of a State.
+// Snapshot is an immutable view of a State, safe for concurrent use.
 type Snapshot struct {
-	// Configuration is nil until one is known.
+	// Configuration is nil until one has been read.
 	Configuration *lovageyard.Configuration
 	Servers       []Server
-	// Drained holds the failure domains whose servers get no work.
+	// Drained holds the failure domains whose servers receive no requests.
 	Drained   map[string]bool
 	Instances map[string]lovageyard.EntryInstance
-	// Cursors are the versions up to which the tables were known.
+	// Cursors holds the version up to which each table has been read.
 	Cursors map[string]int64
 	matcher matcher
-	// Accounts finds the client accounts of the configuration.
+	// Accounts looks up the client accounts of the configuration.
 	Accounts *account.Registry
 }
 
-// Match returns the route of a request, or nil.
+// Match returns the route with the longest matching prefix for a host, with or without a port,
+// and a path, or nil if none matches.
 func (s *Snapshot) Match(host, path string) *lovageyard.Route {
 	return s.matcher.match(host, path)
 }
 
-// Version returns the version of the configuration, or 0.
+// Version returns the version of the configuration, or 0 if none has been read.
 func (s *Snapshot) Version() uint64 {
 	if s.Configuration == nil {
 		return 0
@@ -44,7 +45,7 @@
 	return s.Configuration.Version
 }
 
-// matcher finds routes by host, the longest prefix first.
+// matcher maps a host in lower case to its routes, the longest prefix first.
 type matcher map[string][]*lovageyard.Route
 
 func newMatcher(c *lovageyard.Configuration) matcher {
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -10,100 +10,103 @@
 	"lovageyard.example/lovageyard/account"
 )
 
-// Spans that the state judges rows by.
+// Timeouts of rows.
 const (
-	// lapseGrace is how long the entry of a server that lapsed while the platform was away
-	// is still believed once that is heard. Servers come back within about 2 s of the
-	// platform's return, of which finding that it has returned takes a part.
-	lapseGrace = 1500 * time.Millisecond
+	// expiryGrace is how long a server is still used after its removal is read, if its entry may
+	// have expired during an outage of the platform. Servers register again within about 2 s of
+	// the end of an outage; detecting the end takes a part of that time.
+	expiryGrace = 1500 * time.Millisecond
 )
 
-// State is owned by one goroutine, which applies changes and takes snapshots.
+// State holds the current rows of the platform's tables. It is not safe for concurrent use: one
+// goroutine applies changes and takes snapshots.
 type State struct {
 	decoder lovageyard.Decoder
 	cursors map[string]int64
-	// newest are the versions of the last changes of the tables.
-	newest map[string]int64
-	// floors are the versions of the whole tables read last: removals before are not known.
-	floors map[string]int64
-	rows   map[string]map[string]lovageyard.Row
-	config *lovageyard.Configuration
-	// matcher and accounts are made anew with each configuration, and shared by all snapshots of it.
-	matcher  matcher
-	accounts *account.Registry
-	servers  map[string]*server
-	drains   map[string]bool
-	members  map[string]lovageyard.EntryInstance
-	// undrained is when a failure domain was taken back after a drain.
-	undrained map[string]time.Time
-	// faulty holds the versions of the newest rows that could not be decoded.
-	faulty map[string]map[string]int64
-	// older holds the values that large rows had before, oldest first, so that a peer that holds
-	// one of them can be sent the difference.
-	older map[string]map[string][]lovageyard.Row
-	// latest is the last snapshot, until something changes.
-	latest *Snapshot
-	// outage says that the servers' table could not be read since its last change was heard.
-	outage bool
+	// lastChanges holds the version of the last change of each table.
+	lastChanges map[string]int64
+	// listVersions holds the version of the last full list of each table; removals before it are not known.
+	listVersions map[string]int64
+	rows         map[string]map[string]lovageyard.Row
+	config       *lovageyard.Configuration
+	// matcher and accounts are built once per configuration and shared by its snapshots.
+	matcher   matcher
+	accounts  *account.Registry
+	servers   map[string]*server
+	drained   map[string]bool
+	instances map[string]lovageyard.EntryInstance
+	// restoredAt is when the drain of a failure domain ended.
+	restoredAt map[string]time.Time
+	// invalidRows holds the version of each row that could not be decoded, by table and key.
+	invalidRows map[string]map[string]int64
+	// previousValues holds earlier values of large rows, oldest first, from which deltas for peers
+	// that have one of them are made.
+	previousValues map[string]map[string][]lovageyard.Row
+	// cached is the last snapshot; a change resets it to nil.
+	cached *Snapshot
+	// unreadable is set while the table of servers can't be read, until the missed changes are applied.
+	unreadable bool
 }
 
 type server struct {
 	lovageyard.BackendServer
 	coldUntil time.Time
-	// lapsesAt is when an entry that was removed around an outage is given up; zero for others.
-	lapsesAt time.Time
-	// unusable says that the newest entry names no server to use, though the one before did.
-	unusable bool
+	// expiresAt is when a server whose entry was removed during an outage is dropped, or zero.
+	expiresAt time.Time
+	// invalid is set if the newest entry can't be decoded, although an earlier one could.
+	invalid bool
 }
 
-// InvalidRow is a row that could not be decoded. An entry of a server or of an instance then names
-// none; the last good configuration and drains stay in force.
+// InvalidRow is a row that could not be decoded. If it is the entry of a server or an instance,
+// the server or instance is not used; the last valid configuration and drains stay in force.
 type InvalidRow struct {
 	Row lovageyard.Row
 	Err error
 }
 
-// NewState returns a state that knows nothing.
+// NewState returns an empty state, which is not ready until all tables have been read.
 func NewState(d lovageyard.Decoder) *State {
 	s := &State{
-		decoder:   d,
-		cursors:   make(map[string]int64),
-		newest:    make(map[string]int64),
-		floors:    make(map[string]int64),
-		rows:      make(map[string]map[string]lovageyard.Row),
-		servers:   make(map[string]*server),
-		drains:    make(map[string]bool),
-		members:   make(map[string]lovageyard.EntryInstance),
-		undrained: make(map[string]time.Time),
-		faulty:    make(map[string]map[string]int64),
-		older:     make(map[string]map[string][]lovageyard.Row),
+		decoder:        d,
+		cursors:        make(map[string]int64),
+		lastChanges:    make(map[string]int64),
+		listVersions:   make(map[string]int64),
+		rows:           make(map[string]map[string]lovageyard.Row),
+		servers:        make(map[string]*server),
+		drained:        make(map[string]bool),
+		instances:      make(map[string]lovageyard.EntryInstance),
+		restoredAt:     make(map[string]time.Time),
+		invalidRows:    make(map[string]map[string]int64),
+		previousValues: make(map[string]map[string][]lovageyard.Row),
 	}
 	for _, table := range lovageyard.FollowedTables() {
 		s.rows[table] = make(map[string]lovageyard.Row)
-		s.faulty[table] = make(map[string]int64)
-		s.older[table] = make(map[string][]lovageyard.Row)
+		s.invalidRows[table] = make(map[string]int64)
+		s.previousValues[table] = make(map[string][]lovageyard.Row)
 	}
 	return s
 }
 
-// Cursor returns the version up to which a table is known, or 0.
+// Cursor returns the version up to which a table has been read, or 0.
 func (s *State) Cursor(table string) int64 {
 	return s.cursors[table]
 }
 
-// LastChange returns the version of the last change of a table that is known, or 0. Whoever knows the table up to
-// it lacks nothing that is known here: cursors also grow with the changes of other tables.
+// LastChange returns the version of the last change of a table, or 0. A peer that has read the
+// table up to it is up to date with this state, although cursors may be higher: they also grow
+// with the changes of other tables.
 func (s *State) LastChange(table string) int64 {
-	return s.newest[table]
+	return s.lastChanges[table]
 }
 
-// Ready says whether the configuration, the servers and the instances that share their
-// bounds are known.
+// Ready reports whether a configuration and the tables of servers and of instances, which share the
+// servers' limits, have been read.
 func (s *State) Ready() bool {
 	return s.config != nil && s.cursors[lovageyard.TableServers] > 0 && s.cursors[lovageyard.TableInstances] > 0
 }
 
-// ApplyList takes in a whole table; rows that it lacks are gone.
+// ApplyList applies a full list of a table: rows that it lacks have been removed. A list older than
+// the cursor is ignored. It returns the rows that could not be decoded.
 func (s *State) ApplyList(table string, list lovageyard.Changes, now time.Time) []InvalidRow {
 	if list.To < s.cursors[table] {
 		return nil
@@ -112,21 +115,21 @@
 	for _, r := range list.Rows {
 		present[r.Key] = true
 	}
-	faults := s.applyRows(list.Rows, now)
+	invalid := s.applyRows(list.Rows, now)
 	for key, known := range s.rows[table] {
 		if !present[key] && !known.Deleted && known.Version <= list.To {
-			gone := lovageyard.Row{Table: table, Key: key, Version: list.To, Deleted: true}
-			faults = append(faults, s.applyRows([]lovageyard.Row{gone}, now)...)
+			removed := lovageyard.Row{Table: table, Key: key, Version: list.To, Deleted: true}
+			invalid = append(invalid, s.applyRows([]lovageyard.Row{removed}, now)...)
 		}
 	}
 	s.cursors[table] = list.To
-	s.floors[table] = list.To
-	s.latest = nil
-	return faults
+	s.listVersions[table] = list.To
+	s.cached = nil
+	return invalid
 }
 
-// ApplyChanges takes in the changes of a table, or all of it if they begin at version 0;
-// it reports false if they would leave a gap.
+// ApplyChanges applies the changes of a table, or a full list if they begin at version 0. It
+// applies nothing and returns false if changes between the cursor and c.After are missing.
 func (s *State) ApplyChanges(table string, c lovageyard.Changes, now time.Time) (bool, []InvalidRow) {
 	if c.After > s.cursors[table] {
 		return false, nil
@@ -134,57 +137,58 @@
 	if c.After == 0 && c.To > 0 {
 		return true, s.ApplyList(table, c, now)
 	}
-	faults := s.applyRows(c.Rows, now)
+	invalid := s.applyRows(c.Rows, now)
 	s.cursors[table] = max(s.cursors[table], c.To)
-	return true, faults
+	return true, invalid
 }
 
-// MarkUnreadable notes that a table can't be read; what is removed by the next changes may only
-// have lapsed.
+// MarkUnreadable records that a table can't be read: entries of servers that the next changes
+// remove may only have expired during the outage.
 func (s *State) MarkUnreadable(table string) {
 	if table == lovageyard.TableServers {
-		s.outage = true
+		s.unreadable = true
 	}
 }
 
-// MarkReadable notes that a table has been read again after an outage, once the changes that
-// were missed are applied.
+// MarkReadable records that a table can be read again. It is called after the changes that were
+// missed during the outage have been applied.
 func (s *State) MarkReadable(table string) {
 	if table == lovageyard.TableServers {
-		s.outage = false
+		s.unreadable = false
 	}
 }
 
-// HasRow says whether a row, or a newer one of its key, was taken in before.
+// HasRow reports whether a row, or a newer version of it, has been applied. Invalid entries of
+// servers and instances count as applied.
 func (s *State) HasRow(r lovageyard.Row) bool {
 	known, found := s.rows[r.Table][r.Key]
 	return found && known.Version >= r.Version
 }
 
 func (s *State) applyRows(rows []lovageyard.Row, now time.Time) []InvalidRow {
-	var faults []InvalidRow
+	var invalid []InvalidRow
 	for _, r := range rows {
 		if s.HasRow(r) {
 			continue
 		}
-		s.newest[r.Table] = max(s.newest[r.Table], r.Version)
+		s.lastChanges[r.Table] = max(s.lastChanges[r.Table], r.Version)
 		record, err := s.decode(r)
 		if err != nil {
-			if s.passOver(r) {
-				faults = append(faults, InvalidRow{Row: r, Err: err})
+			if s.recordInvalidRow(r) {
+				invalid = append(invalid, InvalidRow{Row: r, Err: err})
 			}
 			continue
 		}
-		delete(s.faulty[r.Table], r.Key)
-		s.keepOlder(r)
+		delete(s.invalidRows[r.Table], r.Key)
+		s.keepPrevious(r)
 		s.rows[r.Table][r.Key] = r
 		s.apply(record, now)
 	}
-	return faults
+	return invalid
 }
 
 func (s *State) apply(r lovageyard.Record, now time.Time) {
-	s.latest = nil
+	s.cached = nil
 	switch {
 	case r.Configuration != nil:
 		if s.config == nil || r.Configuration.Version > s.config.Version {
@@ -195,9 +199,9 @@
 	case r.Server != nil:
 		s.applyServer(r, now)
 	case r.Instance != nil && r.Removed:
-		delete(s.members, r.Key)
+		delete(s.instances, r.Key)
 	case r.Instance != nil:
-		s.members[r.Key] = *r.Instance
+		s.instances[r.Key] = *r.Instance
 	}
 }
 
@@ -209,14 +213,14 @@
 
 func (s *State) applyDrain(r lovageyard.Record, now time.Time) {
 	domain := r.Drain.FailureDomain
-	if s.drains[domain] && r.Removed {
-		s.undrained[domain] = now
+	if s.drained[domain] && r.Removed {
+		s.restoredAt[domain] = now
 	}
 	if r.Removed {
-		delete(s.drains, domain)
+		delete(s.drained, domain)
 		return
 	}
-	s.drains[domain] = true
+	s.drained[domain] = true
 }
 
 func (s *State) applyServer(r lovageyard.Record, now time.Time) {
@@ -227,17 +231,17 @@
 	}
 	cold := r.Server.ColdFor.Std()
 	if known == nil || known.Life != r.Server.Life {
-		// A server that begins to tell its start has been started anew, too.
+		// An entry with a start time that follows entries without one comes from a restarted server.
 		known = &server{}
 		s.servers[r.Key] = known
-		cold = max(cold, s.coldOnJoining(r.Server.Service))
+		cold = max(cold, s.joinWarmUp(r.Server.Service))
 	}
 	leaving := known.State == lovageyard.StateLeaving
 	known.BackendServer = *r.Server
-	known.lapsesAt = time.Time{}
-	known.unusable = false
+	known.expiresAt = time.Time{}
+	known.invalid = false
 	if leaving {
-		// A life that has said that it leaves never takes that back.
+		// An incarnation that is leaving never becomes live again.
 		known.State = lovageyard.StateLeaving
 	}
 	if until := now.Add(cold); cold > 0 && until.After(known.coldUntil) {
@@ -245,45 +249,45 @@
 	}
 }
 
-// coldOnJoining returns how long a server is to be spared that has just joined, whatever its
-// entry says; servers of the first table that is read have been there before.
-func (s *State) coldOnJoining(service string) time.Duration {
+// joinWarmUp returns the least warm-up time of a server that has just joined, whatever its entry
+// says. Servers in the first list of the table were running before, and need none.
+func (s *State) joinWarmUp(service string) time.Duration {
 	if s.cursors[lovageyard.TableServers] == 0 || s.config == nil {
 		return 0
 	}
 	return s.config.Services[service].ColdFor
 }
 
-// removeServer drops a server, or waits a little if its entry may only have lapsed.
+// removeServer drops a server, or sets it to expire if its entry may only have expired during an outage.
 func (s *State) removeServer(known *server, now time.Time) {
 	if known == nil {
 		return
 	}
-	if s.outage && known.State == lovageyard.StateLive && !known.unusable {
-		known.lapsesAt = now.Add(lapseGrace)
+	if s.unreadable && known.State == lovageyard.StateLive && !known.invalid {
+		known.expiresAt = now.Add(expiryGrace)
 		return
 	}
 	delete(s.servers, known.Name)
 }
 
-// Expire drops the entries that lapsed around an outage and did not come back; it says
-// whether any did.
+// Expire drops the servers whose entries were removed during an outage and did not come back
+// within the grace period. It reports whether it dropped any.
 func (s *State) Expire(now time.Time) bool {
 	changed := false
 	for name, known := range s.servers {
-		if !known.lapsesAt.IsZero() && !now.Before(known.lapsesAt) {
+		if !known.expiresAt.IsZero() && !now.Before(known.expiresAt) {
 			delete(s.servers, name)
-			s.latest = nil
+			s.cached = nil
 			changed = true
 		}
 	}
 	return changed
 }
 
-// ChangesSince returns the changes of a table after a version, for a peer that lags, or the whole
-// table, as changes after version 0, if removals since that version may not be known.
+// ChangesSince returns the changes of a table after a version, for a lagging peer. If removals
+// since that version may not be known, it returns the whole table, as changes after version 0.
 func (s *State) ChangesSince(table string, after int64) lovageyard.Changes {
-	whole := after < s.floors[table]
+	whole := after < s.listVersions[table]
 	c := lovageyard.Changes{After: after, To: s.cursors[table]}
 	if whole {
 		c.After = 0
@@ -297,56 +301,56 @@
 	return c
 }
 
-// Instance returns what the platform's row says of an entry instance.
+// Instance returns an entry instance as its row on the platform describes it, and whether it has one.
 func (s *State) Instance(name string) (lovageyard.EntryInstance, bool) {
-	known, found := s.members[name]
+	known, found := s.instances[name]
 	return known, found
 }
 
-// Instances returns all entry instances that have a row on the platform.
+// Instances returns the entry instances that have a row on the platform, in no particular order.
 func (s *State) Instances() []lovageyard.EntryInstance {
-	return slices.Collect(maps.Values(s.members))
+	return slices.Collect(maps.Values(s.instances))
 }
 
-// Snapshot returns what is known, for readers that do not change it; it is the same one
-// until a row changes, as a copy of all servers is dear in a large fleet.
+// Snapshot returns an immutable view of the state. It returns the same one until a row changes, as
+// a copy of all servers is expensive in a large fleet.
 func (s *State) Snapshot() *Snapshot {
-	if s.latest == nil {
-		s.latest = s.snapshot()
+	if s.cached == nil {
+		s.cached = s.buildSnapshot()
 	}
-	return s.latest
+	return s.cached
 }
 
-func (s *State) snapshot() *Snapshot {
-	view := &Snapshot{
+func (s *State) buildSnapshot() *Snapshot {
+	snapshot := &Snapshot{
 		Configuration: s.config,
-		Drained:       maps.Clone(s.drains),
-		Instances:     maps.Clone(s.members),
+		Drained:       maps.Clone(s.drained),
+		Instances:     maps.Clone(s.instances),
 		Cursors:       maps.Clone(s.cursors),
 		matcher:       s.matcher,
 		Accounts:      s.accounts,
 	}
 	for _, known := range s.servers {
-		if known.unusable {
+		if known.invalid {
 			continue
 		}
-		view.Servers = append(view.Servers, Server{
+		snapshot.Servers = append(snapshot.Servers, Server{
 			BackendServer: known.BackendServer,
 			ColdUntil:     s.coldUntil(known),
 		})
 	}
-	slices.SortFunc(view.Servers, func(a, b Server) int { return strings.Compare(a.Name, b.Name) })
-	return view
+	slices.SortFunc(snapshot.Servers, func(a, b Server) int { return strings.Compare(a.Name, b.Name) })
+	return snapshot
 }
 
-// coldUntil returns until when a server is to be spared: after its start, and after its
-// failure domain was taken back, as it may have lost its caches while it got no work.
+// coldUntil returns when the warm-up of a server ends. A server is cold after its start, and after
+// a drain of its failure domain, as its caches may have expired while it had no requests.
 func (s *State) coldUntil(known *server) time.Time {
-	back, found := s.undrained[known.FailureDomain]
+	restored, found := s.restoredAt[known.FailureDomain]
 	if !found || s.config == nil {
 		return known.coldUntil
 	}
-	cold := back.Add(s.config.Services[known.Service].ColdFor)
+	cold := restored.Add(s.config.Services[known.Service].ColdFor)
 	if cold.After(known.coldUntil) {
 		return cold
 	}
--- a/catalog/state_test.go
+++ b/catalog/state_test.go
@@ -14,7 +14,7 @@
 	"lovageyard.example/lovageyard/catalog"
 )
 
-// jsonDecoder reads rows whose value is a record in JSON.
+// jsonDecoder decodes rows whose values are records in JSON.
 type jsonDecoder struct{}
 
 func (jsonDecoder) Decode(r lovageyard.Row) (lovageyard.Record, error) {
@@ -55,12 +55,12 @@
 	return lovageyard.Row{Table: table, Key: key, Version: version, Value: body}
 }
 
-func desk(name string, state lovageyard.InstanceState) lovageyard.BackendServer {
+func newServer(name string, state lovageyard.InstanceState) lovageyard.BackendServer {
 	return lovageyard.BackendServer{Name: name, Service: "desk", FailureDomain: "north-1", State: state}
 }
 
 func serverRow(c *qt.C, name string, version int64, state lovageyard.InstanceState) lovageyard.Row {
-	return row(c, lovageyard.TableServers, name, version, desk(name, state))
+	return row(c, lovageyard.TableServers, name, version, newServer(name, state))
 }
 
 func removed(table, key string, version int64) lovageyard.Row {
@@ -78,8 +78,8 @@
 	return lovageyard.Changes{After: after, To: to, Rows: rows}
 }
 
-// known returns a state that knows a configuration and two servers at version 10.
-func known(c *qt.C, now time.Time) *catalog.State {
+// populatedState returns a state with a configuration and two servers, at version 10.
+func populatedState(c *qt.C, now time.Time) *catalog.State {
 	s := catalog.NewState(jsonDecoder{})
 	s.ApplyList(lovageyard.TableOrders, changes(0, 10, configRow(c, 5, 7)), now)
 	s.ApplyList(lovageyard.TableServers, changes(0, 10,
@@ -98,11 +98,11 @@
 
 var start = time.Unix(1000, 0)
 
-func TestReadyOnceAllTablesAreKnown(t *testing.T) {
+func TestReadyOnceAllTablesAreRead(t *testing.T) {
 	c := qt.New(t)
 	s := catalog.NewState(jsonDecoder{})
 	c.Assert(s.Ready(), qt.IsFalse)
-	c.Assert(known(c, start).Ready(), qt.IsTrue)
+	c.Assert(populatedState(c, start).Ready(), qt.IsTrue)
 	// Each of them is needed.
 	for _, missing := range lovageyard.FollowedTables() {
 		s := catalog.NewState(jsonDecoder{})
@@ -121,81 +121,81 @@
 
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	s.ApplyChanges(lovageyard.TableOrders, changes(10, 12, configRow(c, 12, 9)), start)
 	c.Assert(s.Snapshot().Version(), qt.Equals, uint64(9))
-	// A peer that lags, a stale list, and an older version under a newer row change nothing.
+	// Changes from a lagging peer, a stale list, and an older version in a newer row change nothing.
 	s.ApplyChanges(lovageyard.TableOrders, changes(0, 10, configRow(c, 5, 7)), start)
 	s.ApplyList(lovageyard.TableOrders, changes(0, 11, configRow(c, 5, 7)), start)
 	s.ApplyChanges(lovageyard.TableOrders, changes(12, 13, configRow(c, 13, 8)), start)
 	c.Assert(s.Snapshot().Version(), qt.Equals, uint64(9))
 }
 
-func TestChangesThatLeaveAGapAreRefused(t *testing.T) {
+func TestChangesThatLeaveAGapAreRejected(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	applied, _ := s.ApplyChanges(lovageyard.TableServers, changes(12, 14, removed(lovageyard.TableServers, "a", 13)), start)
 	c.Assert(applied, qt.IsFalse)
 	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
 	c.Assert(s.Cursor(lovageyard.TableServers), qt.Equals, int64(10))
 }
 
-func TestMalformedRowLeavesTheLastGoodState(t *testing.T) {
+func TestMalformedConfigurationKeepsTheLastValidOne(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	bad := lovageyard.Row{Table: lovageyard.TableOrders, Key: "config", Version: 11, Value: []byte("{")}
-	_, faults := s.ApplyChanges(lovageyard.TableOrders, changes(10, 11, bad), start)
-	c.Assert(faults, qt.HasLen, 1)
+	_, invalid := s.ApplyChanges(lovageyard.TableOrders, changes(10, 11, bad), start)
+	c.Assert(invalid, qt.HasLen, 1)
 	c.Assert(s.Snapshot().Version(), qt.Equals, uint64(7))
 }
 
-func TestRemovedServerIsGoneAtOnce(t *testing.T) {
+func TestRemovedServerIsDroppedImmediately(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, removed(lovageyard.TableServers, "a", 11)), start)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
 }
 
 func TestLeavingServerNeverComesBack(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 12, serverRow(c, "a", 11, lovageyard.StateLeaving)), start)
 	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, serverRow(c, "a", 13, lovageyard.StateLive)), start)
 	c.Assert(s.Snapshot().Servers[0].State, qt.Equals, lovageyard.StateLeaving)
 }
 
-// Entries lapse while the platform is away, and come back within seconds of its return.
-func TestEntryThatLapsedInAnOutageIsKeptForAWhile(t *testing.T) {
+// Entries expire during an outage of the platform, and servers register again within seconds of its end.
+func TestEntryThatExpiredInAnOutageIsKeptForTheGracePeriod(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	s.MarkUnreadable(lovageyard.TableServers)
 	s.ApplyList(lovageyard.TableServers, changes(0, 20), start)
 	s.MarkReadable(lovageyard.TableServers)
 	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
 
-	// One comes back, the other is gone after the wait.
+	// One registers again; the other is dropped after the grace period.
 	s.ApplyChanges(lovageyard.TableServers, changes(20, 21, serverRow(c, "a", 21, lovageyard.StateLive)), start.Add(time.Second))
 	c.Assert(s.Expire(start.Add(1400*time.Millisecond)), qt.IsFalse)
 	c.Assert(s.Expire(start.Add(1600*time.Millisecond)), qt.IsTrue)
 	c.Assert(names(s), qt.DeepEquals, []string{"a"})
 
-	// What is removed after the first read is gone at once: the bound on leaving servers
-	// holds again soon after the platform's return.
+	// Removals after the first read take effect immediately: the time limit for leaving servers
+	// holds again soon after the outage.
 	s.ApplyChanges(lovageyard.TableServers, changes(21, 22, removed(lovageyard.TableServers, "a", 22)), start.Add(1700*time.Millisecond))
 	c.Assert(names(s), qt.HasLen, 0)
 }
 
-func TestListDropsWhatItLacks(t *testing.T) {
+func TestListRemovesMissingRows(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	s.ApplyList(lovageyard.TableServers, changes(0, 20, serverRow(c, "b", 4, lovageyard.StateLive)), start)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
 }
 
-// A server that joins is cold even if its entry does not say so.
+// A server that joins is cold even if its entry has no warm-up time.
 func TestJoiningServerIsCold(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, serverRow(c, "c", 11, lovageyard.StateLive)), start)
 	view := s.Snapshot()
 	c.Assert(view.Servers[0].ColdUntil.After(start), qt.IsFalse)
@@ -204,20 +204,21 @@
 
 func TestServersAreColdAfterADrain(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	s.ApplyChanges(lovageyard.TableOrders, changes(10, 11, lovageyard.Row{Table: lovageyard.TableOrders, Key: "north-1", Version: 11}), start)
 	c.Assert(s.Snapshot().Drained["north-1"], qt.IsTrue)
-	back := start.Add(time.Minute)
-	s.ApplyChanges(lovageyard.TableOrders, changes(11, 12, removed(lovageyard.TableOrders, "north-1", 12)), back)
+	restored := start.Add(time.Minute)
+	s.ApplyChanges(lovageyard.TableOrders, changes(11, 12, removed(lovageyard.TableOrders, "north-1", 12)), restored)
 	view := s.Snapshot()
 	c.Assert(view.Drained["north-1"], qt.IsFalse)
-	c.Assert(view.Servers[0].ColdUntil, qt.Equals, back.Add(3*time.Second))
+	c.Assert(view.Servers[0].ColdUntil, qt.Equals, restored.Add(3*time.Second))
 }
 
-// A peer that knows a server whose removal this instance never saw must not miss it.
-func TestPeerThatLagsGetsTheWholeTableIfRemovalsAreUnknown(t *testing.T) {
+// This instance may never have read the removal of a server that a peer still has; the peer must
+// learn of the removal nevertheless.
+func TestLaggingPeerGetsTheWholeTableIfRemovalsAreUnknown(t *testing.T) {
 	c := qt.New(t)
-	peer := known(c, start)
+	peer := populatedState(c, start)
 	fresh := catalog.NewState(jsonDecoder{})
 	fresh.ApplyList(lovageyard.TableServers, changes(0, 20, serverRow(c, "b", 4, lovageyard.StateLive)), start)
 	for _, table := range []string{lovageyard.TableServers} {
@@ -228,9 +229,9 @@
 	c.Assert(peer.Cursor(lovageyard.TableServers), qt.Equals, int64(20))
 }
 
-func TestPeerThatLagsGetsOnlyTheChanges(t *testing.T) {
+func TestLaggingPeerGetsOnlyTheChanges(t *testing.T) {
 	c := qt.New(t)
-	ahead, behind := known(c, start), known(c, start)
+	ahead, behind := populatedState(c, start), populatedState(c, start)
 	ahead.ApplyChanges(lovageyard.TableServers, changes(10, 11, removed(lovageyard.TableServers, "a", 11)), start)
 	delta := ahead.ChangesSince(lovageyard.TableServers, behind.Cursor(lovageyard.TableServers))
 	c.Assert(delta.Rows, qt.HasLen, 1)
@@ -238,7 +239,7 @@
 	c.Assert(names(behind), qt.DeepEquals, []string{"b"})
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchPrefersTheLongestPrefixOfTheHost(t *testing.T) {
 	c := qt.New(t)
 	s := catalog.NewState(jsonDecoder{})
 	s.ApplyList(lovageyard.TableOrders, changes(0, 1, row(c, lovageyard.TableOrders, "config", 1, lovageyard.Configuration{
@@ -255,24 +256,24 @@
 	c.Assert(view.Match("b.example", "/x/"), qt.IsNil)
 }
 
-// A copy of all servers is dear in a large fleet: there is one for each change.
+// A copy of all servers is expensive in a large fleet, so it is made only after a change.
 func TestSnapshotIsKeptUntilSomethingChanges(t *testing.T) {
 	c := qt.New(t)
-	s := known(c, start)
+	s := populatedState(c, start)
 	first := s.Snapshot()
 	c.Assert(s.Snapshot() == first, qt.IsTrue)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, removed(lovageyard.TableServers, "a", 11)), start)
 	c.Assert(s.Snapshot() == first, qt.IsFalse)
 	c.Assert(names(s), qt.DeepEquals, []string{"b"})
 
-	// A whole table without rows changes what is known of the table itself.
+	// A full list without rows changes the cursor.
 	empty := catalog.NewState(jsonDecoder{})
 	c.Assert(empty.Snapshot().Cursors[lovageyard.TableInstances], qt.Equals, int64(0))
 	empty.ApplyList(lovageyard.TableInstances, changes(0, 5), start)
 	c.Assert(empty.Snapshot().Cursors[lovageyard.TableInstances], qt.Equals, int64(5))
 }
 
-// The longest prefix wins also among thousands of routes.
+// The longest prefix must win also among thousands of routes.
 func TestMatchAmongManyRoutes(t *testing.T) {
 	c := qt.New(t)
 	configuration := lovageyard.Configuration{Version: 1}
--- a/catalog/view.go
+++ b/catalog/view.go
@@ -6,16 +6,17 @@
 	"lovageyard.example/lovageyard"
 )
 
-// View is all that traffic needs to know at one moment; it is immutable.
+// View is the state that request handling reads: a snapshot of the platform's tables and the
+// status of this instance. It is immutable.
 type View struct {
 	*Snapshot
-	// Live are the entry instances that take new work, this one included unless it leaves.
+	// Live holds the entry instances that accept new requests, including this one unless it is leaving.
 	Live []lovageyard.EntryInstance
-	// Ready says that this instance can serve: it knows a configuration and the servers.
+	// Ready reports whether this instance can serve; see State.Ready.
 	Ready bool
-	// Leaving says that this instance is about to end, and EndsAt when.
+	// Leaving reports whether this instance is shutting down; it exits at ShutdownAt.
 	Leaving    bool
 	ShutdownAt time.Time
-	// Refusing says that it takes no new requests any more.
+	// Refusing reports whether this instance refuses new requests.
 	Refusing bool
 }
