--- a/account.go
+++ b/account.go
@@ -30,21 +30,21 @@
 // Credentials are what a request says of who sends it.
 type Credentials struct {
 	// Given says that the request has credentials, well formed or not.
-	Given bool
+	Present bool
 	// Key is the key that they hold, or "" if they are not of the expected form.
 	Key string
 	// Text is what was given, for comparisons only: it must not be passed on or logged.
-	Text string
+	Raw string
 }
 
 // Forwarding is what a backend server is told beside the request itself.
 type Forwarding struct {
 	// Left is the time that is left until the deadline.
-	Left time.Duration
+	Remaining time.Duration
 	// Server is the identity of the server that is meant.
 	Server string
 	// Identified says that callers' credentials were checked here, so that the server does not get them.
-	Identified bool
+	Authenticated bool
 	// Account is the caller's account, or "" if it has none.
 	Account string
 }
--- a/backpressure/play_test.go
+++ b/backpressure/play_test.go
@@ -44,7 +44,7 @@
 	}
 	m.record.Take(now)
 	counts := !m.toldAt.IsZero() && now.Sub(m.toldAt) >= toldAfter
-	m.record.Hear(lovageyard.Notice{Limited: true, Limit: limit}, now, now.Add(time.Millisecond))
+	m.record.Hear(lovageyard.Backpressure{Limited: true, Limit: limit}, now, now.Add(time.Millisecond))
 	if m.toldAt.IsZero() {
 		m.toldAt = now
 	}
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -70,7 +70,7 @@
 }
 
 // Hear takes in what an answer says to a request that was sent at a time.
-func (r *Record) Hear(n lovageyard.Notice, sentAt, now time.Time) Change {
+func (r *Record) Hear(n lovageyard.Backpressure, sentAt, now time.Time) Change {
 	change := Change{Limit: r.hearLimit(n, sentAt, now), Leaving: n.Leaving && !r.leaving}
 	r.leaving = r.leaving || n.Leaving
 	if n.Backoff > 0 {
@@ -90,7 +90,7 @@
 
 // hearLimit takes in the limit of an answer, and says whether it has changed. An answer without a limit lifts it only
 // if its request was sent after the limit was named: answers may overtake each other.
-func (r *Record) hearLimit(n lovageyard.Notice, sentAt, now time.Time) bool {
+func (r *Record) hearLimit(n lovageyard.Backpressure, sentAt, now time.Time) bool {
 	switch {
 	case n.Limited && r.limited && n.Limit == r.limit:
 		r.heardAt = now
@@ -103,7 +103,7 @@
 		r.limited, r.limit, r.heardAt = true, n.Limit, now
 		r.divide(now)
 		return true
-	case n.Unclear, !r.limited, !sentAt.After(r.heardAt):
+	case n.InvalidLimit, !r.limited, !sentAt.After(r.heardAt):
 		return false
 	}
 	r.limited, r.limit = false, 0
--- a/backpressure/record_test.go
+++ b/backpressure/record_test.go
@@ -40,7 +40,7 @@
 		return false
 	}
 	r.Take(now)
-	r.Hear(lovageyard.Notice{Limited: f.limited, Limit: f.limit}, now, now)
+	r.Hear(lovageyard.Backpressure{Limited: f.limited, Limit: f.limit}, now, now)
 	f.sends = append(f.sends, now)
 	return true
 }
@@ -142,12 +142,12 @@
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	c.Assert(r.Hear(lovageyard.Notice{Limited: true, Limit: 2}, at(0), at(10)).Limit, qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{}, at(5), at(20)).Limit, qt.IsFalse)
-	c.Assert(r.Hear(lovageyard.Notice{Unclear: true}, at(20), at(30)).Limit, qt.IsFalse)
+	c.Assert(r.Hear(lovageyard.Backpressure{Limited: true, Limit: 2}, at(0), at(10)).Limit, qt.IsTrue)
+	c.Assert(r.Hear(lovageyard.Backpressure{}, at(5), at(20)).Limit, qt.IsFalse)
+	c.Assert(r.Hear(lovageyard.Backpressure{InvalidLimit: true}, at(20), at(30)).Limit, qt.IsFalse)
 	_, limited := r.Limit()
 	c.Assert(limited, qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{}, at(20), at(30)).Limit, qt.IsTrue)
+	c.Assert(r.Hear(lovageyard.Backpressure{}, at(20), at(30)).Limit, qt.IsTrue)
 	_, limited = r.Limit()
 	c.Assert(limited, qt.IsFalse)
 	c.Assert(r.Allows(at(30)), qt.IsTrue)
@@ -176,8 +176,8 @@
 func TestLeavingLasts(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
-	c.Assert(r.Hear(lovageyard.Notice{Leaving: true}, start, start).Leaving, qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{}, start.Add(time.Second), start.Add(time.Second)), qt.Equals, Change{})
+	c.Assert(r.Hear(lovageyard.Backpressure{Leaving: true}, start, start).Leaving, qt.IsTrue)
+	c.Assert(r.Hear(lovageyard.Backpressure{}, start.Add(time.Second), start.Add(time.Second)), qt.Equals, Change{})
 	c.Assert(r.Allows(start.Add(time.Hour)), qt.IsFalse)
 	_, ever := r.Until(start)
 	c.Assert(ever, qt.IsFalse)
@@ -188,14 +188,14 @@
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	c.Assert(r.Hear(lovageyard.Notice{Backoff: 3 * time.Second}, at(0), at(10)).Backoff, qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{Backoff: time.Second}, at(0), at(20)).Backoff, qt.IsFalse)
-	c.Assert(r.Hear(lovageyard.Notice{}, at(5), at(30)), qt.Equals, Change{})
+	c.Assert(r.Hear(lovageyard.Backpressure{Backoff: 3 * time.Second}, at(0), at(10)).Backoff, qt.IsTrue)
+	c.Assert(r.Hear(lovageyard.Backpressure{Backoff: time.Second}, at(0), at(20)).Backoff, qt.IsFalse)
+	c.Assert(r.Hear(lovageyard.Backpressure{}, at(5), at(30)), qt.Equals, Change{})
 	c.Assert(r.Refuses(at(3009)), qt.IsTrue)
 	c.Assert(r.Allows(at(3009)), qt.IsFalse)
 	until, ever := r.Until(at(30))
 	c.Assert(ever, qt.IsTrue)
 	c.Assert(until, qt.Equals, at(3010))
 	c.Assert(r.Allows(until), qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{Backoff: time.Second}, at(3010), at(3020)).Backoff, qt.IsTrue)
+	c.Assert(r.Hear(lovageyard.Backpressure{Backoff: time.Second}, at(3010), at(3020)).Backoff, qt.IsTrue)
 }
--- a/caller/forward.go
+++ b/caller/forward.go
@@ -212,14 +212,14 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{Got1xxResponse: x.passHint})
 	response, err := x.handler.backend.Stream(x.outgoing(ctx), x.slot.Server)
 	if err != nil {
-		x.release(started, lovageyard.Answer{Failed: true})
+		x.release(started, lovageyard.Outcome{Failed: true})
 		if x.isServersFault(ctx, started) {
 			x.choice.Pool.Suspect(x.slot.Server.Name)
 		}
 		return x.failed(err)
 	}
 	defer response.Body.Close()
-	answer := lovageyard.Answer{}
+	answer := lovageyard.Outcome{}
 	answer.Report, answer.Reported = link.ReportOf(response.Header)
 	if answer.Report.Leaving {
 		x.handler.watcher.ServerLeaving(x.work.Class.Service, x.choice.Site, x.slot.Server.Name)
@@ -277,7 +277,7 @@
 	return context.WithTimeout(ctx, left/2)
 }
 
-func (x *exchange) release(started time.Time, a lovageyard.Answer) {
+func (x *exchange) release(started time.Time, a lovageyard.Outcome) {
 	a.At = x.handler.timer.Now()
 	a.Duration = a.At.Sub(started)
 	x.choice.Pool.Release(x.slot, a)
--- a/catalog/faulty.go
+++ b/catalog/faulty.go
@@ -15,7 +15,7 @@
 	if err != nil || record.Server == nil || record.Removed {
 		return record, err
 	}
-	if known := s.servers[r.Key]; known != nil && known.Life != 0 && record.Server.Life == 0 {
+	if known := s.servers[r.Key]; known != nil && known.Incarnation != 0 && record.Server.Incarnation == 0 {
 		return record, errors.Wrapf(errNoStart, "row %s/%s at version %d", r.Table, r.Key, r.Version)
 	}
 	return record, nil
--- a/catalog/life_test.go
+++ b/catalog/life_test.go
@@ -15,7 +15,7 @@
 // lifeRow is the entry of one life of a server.
 func lifeRow(c *qt.C, name string, version, life int64, state lovageyard.InstanceState) lovageyard.Row {
 	server := desk(name, state)
-	server.Life = life
+	server.Incarnation = life
 	return row(c, lovageyard.TableServers, name, version, server)
 }
 
@@ -59,12 +59,12 @@
 	s := known(c, start)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 20, lifeRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
 	s.ApplyChanges(lovageyard.TableServers, changes(20, 30, lifeRow(c, "a", 30, 100, lovageyard.StateLive)), start)
-	c.Assert(find(s, "a").Life, qt.Equals, int64(100))
+	c.Assert(find(s, "a").Incarnation, qt.Equals, int64(100))
 	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
 	// Late word of the life before changes nothing, whoever passes it on.
 	s.ApplyChanges(lovageyard.TableServers, changes(0, 25, lifeRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
 	s.ApplyList(lovageyard.TableServers, changes(0, 30, lifeRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
-	c.Assert(find(s, "a").Life, qt.Equals, int64(100))
+	c.Assert(find(s, "a").Incarnation, qt.Equals, int64(100))
 	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
 }
 
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -226,7 +226,7 @@
 		return
 	}
 	cold := r.Server.ColdFor.Std()
-	if known == nil || known.Life != r.Server.Life {
+	if known == nil || known.Incarnation != r.Server.Incarnation {
 		// A server that begins to tell its start has been started anew, too.
 		known = &server{}
 		s.servers[r.Key] = known
--- a/control/control.go
+++ b/control/control.go
@@ -151,7 +151,7 @@
 	return c.snapshot.Load()
 }
 
-func (c *Control) run(ticks, steps lovageyard.Ticks) {
+func (c *Control) run(ticks, steps lovageyard.Ticker) {
 	defer ticks.Close()
 	defer steps.Close()
 	c.tick(c.settings.Timer.Now())
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -157,7 +157,7 @@
 // start runs an instance; its name is its address, and its failure domain the name's start.
 func (y *yard) start(name string, life int64) *Control {
 	self := lovageyard.EntryInstance{
-		Name: name, Life: life, FailureDomain: name[:2], Region: name[:1],
+		Name: name, Incarnation: life, FailureDomain: name[:2], Region: name[:1],
 		PeerAddress: name, CallerAddress: name, State: lovageyard.StateLive,
 	}
 	logger := logrus.New()
--- a/control/planner.go
+++ b/control/planner.go
@@ -30,7 +30,7 @@
 }
 
 func leaseHolder(i lovageyard.EntryInstance) string {
-	return i.Name + "/" + strconv.FormatInt(i.Life, 10)
+	return i.Name + "/" + strconv.FormatInt(i.Incarnation, 10)
 }
 
 // candidatesFor returns the names of the relays that may plan a service: the highest
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkChooseAmongAThousand chooses a server for an object among 1,000 in three regions.
 func BenchmarkChooseAmongAThousand(b *testing.B) {
 	view := &catalog.Snapshot{Configuration: &lovageyard.Configuration{
-		Routes:   []lovageyard.Route{{Name: "r", Goal: time.Second, Sticky: true, Parts: []lovageyard.Part{{Service: "desk", Weight: 1}}}},
+		Routes:   []lovageyard.Route{{Name: "r", Goal: time.Second, Sticky: true, Parts: []lovageyard.ServiceWeight{{Service: "desk", Weight: 1}}}},
 		Services: map[string]lovageyard.Service{"desk": {Name: "desk"}},
 	}}
 	for i := range 1000 {
--- a/dispatch/bounds_test.go
+++ b/dispatch/bounds_test.go
@@ -83,7 +83,7 @@
 
 func TestSplitKeepsTheWeights(t *testing.T) {
 	c := qt.New(t)
-	parts := []lovageyard.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
+	parts := []lovageyard.ServiceWeight{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
 	var s splitter
 	counts := make(map[string]int)
 	for i := range 200 {
--- a/dispatch/choose_test.go
+++ b/dispatch/choose_test.go
@@ -38,7 +38,7 @@
 			Version: 1,
 			Routes: []lovageyard.Route{{
 				Name: "r", Idempotent: true, Goal: 200 * time.Millisecond, Sticky: true, Attempts: 2,
-				Parts: []lovageyard.Part{{Service: "desk", Weight: 1}},
+				Parts: []lovageyard.ServiceWeight{{Service: "desk", Weight: 1}},
 			}},
 			Services: map[string]lovageyard.Service{"desk": {Name: "desk", ColdRate: 2}},
 		},
@@ -405,7 +405,7 @@
 func TestNewLifeOfAServerIsJudgedAnew(t *testing.T) {
 	y := newYard(t)
 	y.view.Servers = y.view.Servers[:1]
-	y.view.Servers[0].Life = 100
+	y.view.Servers[0].Incarnation = 100
 	y.table.SetCatalog(y.view, y.now)
 	var held []dispatch.Choice
 	for {
@@ -418,11 +418,11 @@
 	y.c.Assert(len(held) > 1, qt.IsTrue)
 	next := *y.view
 	next.Servers = []catalog.Server{y.view.Servers[0]}
-	next.Servers[0].Life = 200
+	next.Servers[0].Incarnation = 200
 	y.table.SetCatalog(&next, y.now)
 	choice := y.choose("k")
 	y.c.Assert(choice.Refused, qt.IsFalse)
-	y.c.Assert(choice.Server.Life, qt.Equals, int64(200))
+	y.c.Assert(choice.Server.Incarnation, qt.Equals, int64(200))
 	y.c.Assert(choice.Wait, qt.Equals, time.Duration(0))
 	// The end of requests at the old life teaches nothing about the new one.
 	for _, h := range held {
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -356,7 +356,7 @@
 func byTable(m *model) chooser {
 	route := &lovageyard.Route{
 		Name: "r", Host: "h", Prefix: "/", Idempotent: true, Goal: m.goal, Timeout: m.timeout, Attempts: 2, Sticky: true,
-		Parts: []lovageyard.Part{{Service: "desk", Weight: 1}},
+		Parts: []lovageyard.ServiceWeight{{Service: "desk", Weight: 1}},
 	}
 	view := &catalog.Snapshot{Configuration: &lovageyard.Configuration{
 		Version: 1, Routes: []lovageyard.Route{*route}, Services: map[string]lovageyard.Service{"desk": {Name: "desk"}},
@@ -391,7 +391,7 @@
 		return s, func(notRun bool, at time.Time) {
 			table.Done(choice, dispatch.Outcome{
 				At: at, Answered: true, NotRun: notRun,
-				Meta: lovageyard.AnswerMeta{
+				Meta: lovageyard.ResponseMeta{
 					Reported: true,
 					Load:     lovageyard.LoadReport{InFlight: s.running, Queued: len(s.queue), Slots: s.Slots},
 				},
--- a/dispatch/notice.go
+++ b/dispatch/notice.go
@@ -26,7 +26,7 @@
 }
 
 func lifeOf(s lovageyard.BackendServer) life {
-	return life{name: s.Name, start: s.Life}
+	return life{name: s.Name, start: s.Incarnation}
 }
 
 // keptRecord is what a server asked for.
@@ -42,7 +42,7 @@
 // recordOf returns the record of a server that is listed, a new one if it has asked for nothing.
 func (t *Table) recordOf(s lovageyard.BackendServer, now time.Time) *backpressure.Record {
 	kept := t.notices[lifeOf(s)]
-	if kept != nil && s.Life == 0 && !kept.unlistedAt.IsZero() && now.Sub(kept.unlistedAt) > restartAfter {
+	if kept != nil && s.Incarnation == 0 && !kept.unlistedAt.IsZero() && now.Sub(kept.unlistedAt) > restartAfter {
 		delete(t.notices, lifeOf(s))
 		kept = nil
 	}
@@ -54,12 +54,12 @@
 
 // Hear takes in what an answer of a server asks for; its request was sent at a time. It says what that has
 // changed.
-func (t *Table) Hear(s lovageyard.BackendServer, n lovageyard.Notice, sentAt, now time.Time) backpressure.Change {
+func (t *Table) Hear(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt, now time.Time) backpressure.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kept := t.notices[lifeOf(s)]
 	if kept == nil {
-		if n == (lovageyard.Notice{}) {
+		if n == (lovageyard.Backpressure{}) {
 			return backpressure.Change{}
 		}
 		kept = t.keep(s, now)
@@ -71,7 +71,7 @@
 // keep keeps the record of a server from now on.
 func (t *Table) keep(s lovageyard.BackendServer, now time.Time) *keptRecord {
 	kept := &keptRecord{record: backpressure.NewRecord(t.settings.Self, s.Name, t.instances)}
-	if known := t.servers[s.Name]; known != nil && known.Life == s.Life {
+	if known := t.servers[s.Name]; known != nil && known.Incarnation == s.Incarnation {
 		kept.record = known.record
 		kept.record.SetInstances(t.instances, now)
 	} else {
--- a/dispatch/notice_test.go
+++ b/dispatch/notice_test.go
@@ -13,7 +13,7 @@
 )
 
 // hear has an answer of a server ask for something.
-func (y *yard) hear(server string, n lovageyard.Notice) {
+func (y *yard) hear(server string, n lovageyard.Backpressure) {
 	y.table.Hear(y.listed(server).BackendServer, n, y.now, y.now)
 }
 
@@ -28,7 +28,7 @@
 }
 
 // sends returns how many requests each server gets in a span in which they come fast, for many objects or for none.
-func (y *yard) sends(span time.Duration, named bool, notice map[string]lovageyard.Notice) map[string]int {
+func (y *yard) sends(span time.Duration, named bool, notice map[string]lovageyard.Backpressure) map[string]int {
 	counts := make(map[string]int)
 	for end := y.now.Add(span); y.now.Before(end); y.now = y.now.Add(20 * time.Millisecond) {
 		key := ""
@@ -53,9 +53,9 @@
 	for _, named := range []bool{true, false} {
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
 			y := newYard(t)
-			limited := lovageyard.Notice{Limited: true, Limit: 2}
+			limited := lovageyard.Backpressure{Limited: true, Limit: 2}
 			y.hear("east-0", limited)
-			counts := y.sends(20*time.Second, named, map[string]lovageyard.Notice{"east-0": limited})
+			counts := y.sends(20*time.Second, named, map[string]lovageyard.Backpressure{"east-0": limited})
 			y.c.Assert(counts["east-0"] <= 40, qt.IsTrue, qt.Commentf("%v", counts))
 			y.c.Assert(counts["east-0"] > 20, qt.IsTrue, qt.Commentf("%v", counts))
 			y.c.Assert(counts["east-0"]+counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 1000)
@@ -67,7 +67,7 @@
 	y := newYard(t)
 	y.view.Servers = y.view.Servers[:2]
 	y.table.SetCatalog(y.view, y.now)
-	y.hear("east-0", lovageyard.Notice{Limited: true, Limit: 2})
+	y.hear("east-0", lovageyard.Backpressure{Limited: true, Limit: 2})
 	y.now = y.now.Add(2 * time.Second)
 	choice := y.choose("", "east-1")
 	y.c.Assert(choice.Refused, qt.IsFalse)
@@ -83,7 +83,7 @@
 func TestRequestThatNoServerTakesIsToldWhenToComeBack(t *testing.T) {
 	y := newYard(t)
 	for _, s := range y.view.Servers {
-		y.hear(s.Name, lovageyard.Notice{Limited: true, Limit: 0.5})
+		y.hear(s.Name, lovageyard.Backpressure{Limited: true, Limit: 0.5})
 	}
 	refused := y.choose("k")
 	y.c.Assert(refused.Cause, qt.Equals, dispatch.CauseBackpressure)
@@ -95,20 +95,20 @@
 // of the next.
 func TestNoticeOutlastsALapsedEntryButNotALife(t *testing.T) {
 	y := newYard(t)
-	y.hear("east-0", lovageyard.Notice{Limited: true, Limit: 0.01})
+	y.hear("east-0", lovageyard.Backpressure{Limited: true, Limit: 0.01})
 	all := y.view.Servers
 	y.view.Servers = all[1:2]
 	y.table.SetCatalog(y.view, y.now)
 	y.view.Servers = all[:2]
 	y.table.SetCatalog(y.view, y.now)
 	y.c.Assert(y.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
-	all[0].Life = 7
+	all[0].Incarnation = 7
 	y.table.SetCatalog(y.view, y.now)
 	y.c.Assert(y.choose("", "east-1").Refused, qt.IsFalse)
 	// Late word of the life before is none of this one.
 	earlier := all[0].BackendServer
-	earlier.Life = 0
-	y.table.Hear(earlier, lovageyard.Notice{Limited: true, Limit: 0.01}, y.now, y.now)
+	earlier.Incarnation = 0
+	y.table.Hear(earlier, lovageyard.Backpressure{Limited: true, Limit: 0.01}, y.now, y.now)
 	y.c.Assert(y.choose("", "east-1").Refused, qt.IsFalse)
 }
 
@@ -118,7 +118,7 @@
 	all := y.view.Servers
 	y.view.Servers = all[1:2]
 	y.table.SetCatalog(y.view, y.now)
-	y.table.Hear(all[0].BackendServer, lovageyard.Notice{Limited: true, Limit: 0.01}, y.now, y.now)
+	y.table.Hear(all[0].BackendServer, lovageyard.Backpressure{Limited: true, Limit: 0.01}, y.now, y.now)
 	y.view.Servers = all[:2]
 	y.table.SetCatalog(y.view, y.now)
 	y.c.Assert(y.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
@@ -131,14 +131,14 @@
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
 			y := newYard(t)
 			inFlight := y.choose("")
-			y.hear("east-0", lovageyard.Notice{Leaving: true})
+			y.hear("east-0", lovageyard.Backpressure{Leaving: true})
 			counts := y.sends(10*time.Second, named, nil)
 			y.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
 			y.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 500)
-			y.hear(inFlight.Server.Name, lovageyard.Notice{Leaving: true})
+			y.hear(inFlight.Server.Name, lovageyard.Backpressure{Leaving: true})
 			y.c.Assert(y.table.MaySendAgain(inFlight, y.now), qt.IsFalse)
 			for _, s := range y.view.Servers {
-				y.hear(s.Name, lovageyard.Notice{Leaving: true})
+				y.hear(s.Name, lovageyard.Backpressure{Leaving: true})
 			}
 			y.c.Assert(y.choose("k").Cause, qt.Equals, dispatch.CauseNoServer)
 		})
@@ -163,17 +163,17 @@
 			y := newYard(t)
 			all := y.view.Servers[:2]
 			if test.life > 0 {
-				all[0].Life = 7
+				all[0].Incarnation = 7
 			}
 			y.view.Servers = all
 			y.table.SetCatalog(y.view, y.now)
-			y.hear("east-0", lovageyard.Notice{Leaving: true})
+			y.hear("east-0", lovageyard.Backpressure{Leaving: true})
 			if test.away > 0 {
 				y.view.Servers = all[1:]
 				y.table.SetCatalog(y.view, y.now)
 				y.now = y.now.Add(test.away)
 			}
-			all[0].Life = test.life
+			all[0].Incarnation = test.life
 			y.view.Servers = all
 			y.table.SetCatalog(y.view, y.now)
 			y.c.Assert(y.choose("", "east-1").Refused, qt.Equals, !test.isUsed)
@@ -186,7 +186,7 @@
 	for _, named := range []bool{true, false} {
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
 			y := newYard(t)
-			y.hear("east-0", lovageyard.Notice{Backoff: 3 * time.Second})
+			y.hear("east-0", lovageyard.Backpressure{Backoff: 3 * time.Second})
 			counts := y.sends(3*time.Second, named, nil)
 			y.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
 			y.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 150)
@@ -201,7 +201,7 @@
 	y := newYard(t)
 	choice := y.choose("k")
 	y.c.Assert(y.table.MaySend(choice, y.now), qt.IsTrue)
-	y.hear(choice.Server.Name, lovageyard.Notice{Backoff: time.Second})
+	y.hear(choice.Server.Name, lovageyard.Backpressure{Backoff: time.Second})
 	y.c.Assert(y.table.MaySend(choice, y.now), qt.IsFalse)
 	y.c.Assert(y.table.MaySendAgain(choice, y.now), qt.IsFalse)
 	y.c.Assert(y.table.MaySend(choice, y.now.Add(time.Second)), qt.IsTrue)
@@ -211,7 +211,7 @@
 func TestBackoffOfAllServersIsToldToCallers(t *testing.T) {
 	y := newYard(t)
 	for i, s := range y.view.Servers {
-		y.hear(s.Name, lovageyard.Notice{Backoff: time.Duration(3+i) * time.Second})
+		y.hear(s.Name, lovageyard.Backpressure{Backoff: time.Duration(3+i) * time.Second})
 	}
 	refused := y.choose("k")
 	y.c.Assert(refused.Cause, qt.Equals, dispatch.CauseBackpressure)
@@ -226,9 +226,9 @@
 	for range 10 {
 		choice := y.choose("k")
 		y.c.Assert(choice.Server.Name, qt.Equals, home)
-		notice := lovageyard.Notice{Backoff: 100 * time.Millisecond}
+		notice := lovageyard.Backpressure{Backoff: 100 * time.Millisecond}
 		y.hear(home, notice)
-		y.done(choice, dispatch.Outcome{Answered: true, Failed: true, NotRun: true, Meta: lovageyard.AnswerMeta{Notice: notice}})
+		y.done(choice, dispatch.Outcome{Answered: true, Failed: true, NotRun: true, Meta: lovageyard.ResponseMeta{Backpressure: notice}})
 		y.now = y.now.Add(100 * time.Millisecond)
 	}
 }
--- a/dispatch/split.go
+++ b/dispatch/split.go
@@ -9,7 +9,7 @@
 }
 
 // next returns the service of the next request.
-func (s *splitter) next(parts []lovageyard.Part) string {
+func (s *splitter) next(parts []lovageyard.ServiceWeight) string {
 	if len(parts) == 1 {
 		return parts[0].Service
 	}
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -88,7 +88,7 @@
 	Misdirected bool
 	// Abandoned says that this side gave up before the server was late.
 	Abandoned bool
-	Meta      lovageyard.AnswerMeta
+	Meta      lovageyard.ResponseMeta
 	// DialTime is how long a new connection took, or 0.
 	DialTime time.Duration
 }
@@ -234,7 +234,7 @@
 
 func (t *Table) setServer(listed catalog.Server, now time.Time) {
 	known := t.servers[listed.Name]
-	if known == nil || known.Life != listed.Life {
+	if known == nil || known.Incarnation != listed.Incarnation {
 		// A server that has started anew has lost its caches, its queue and its faults. Attempts
 		// at the life before keep their own record of it, which nobody looks at any more.
 		t.servers[listed.Name] = newServer(listed, t.recordOf(listed.BackendServer, now))
@@ -309,7 +309,7 @@
 		domain.answered()
 		s.answeredAt = o.At
 		s.busySince = o.At
-		if o.Meta.Notice.Backoff == 0 {
+		if o.Meta.Backpressure.Backoff == 0 {
 			// Once a backoff is over, the server is as good as before.
 			s.learnFailure(o.Failed || o.NotRun)
 		}
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -57,7 +57,7 @@
 	}
 	x.caller.identified = true
 	given := x.meta.Credentials
-	if !given.Given && x.route.Open {
+	if !given.Present && x.route.Open {
 		return true
 	}
 	x.caller.account = x.view.Accounts.Find(given.Key)
@@ -77,7 +77,7 @@
 	if x.caller.identified {
 		return x.caller.name()
 	}
-	return x.meta.Credentials.Text
+	return x.meta.Credentials.Raw
 }
 
 // isStillAllowed says whether the caller's key is one of its account's now, as far as that has to be known: a
--- a/entry/deadline_test.go
+++ b/entry/deadline_test.go
@@ -25,7 +25,7 @@
 	} {
 		x := &exchange{
 			route: &lovageyard.Route{Timeout: test.timeout},
-			meta:  lovageyard.RequestMeta{Deadline: test.client},
+			meta:  lovageyard.RequestMeta{Timeout: test.client},
 		}
 		x.setDeadlines()
 		c.Assert(x.deadline.Sub(x.began), qt.Equals, test.server)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -66,7 +66,7 @@
 		return nil, lovageyard.MayHaveRun("hung", ctx.Err())
 	}
 	if s.observer != nil && next.answer != nil {
-		s.observer.Hear(lovageyard.BackendServer{Name: r.Server, Life: r.Life}, next.answer.Meta.Notice, time.Now())
+		s.observer.Hear(lovageyard.BackendServer{Name: r.Server, Incarnation: r.Life}, next.answer.Meta.Backpressure, time.Now())
 	}
 	return next.answer, next.err
 }
@@ -152,7 +152,7 @@
 	y.view = &catalog.View{Snapshot: snapshot, Ready: true}
 	y.setRoute(lovageyard.Route{
 		Name: "r", Host: "a.example", Prefix: "/x/", Idempotent: true, Timeout: 20 * time.Second, Goal: 20 * time.Second,
-		Attempts: 2, Parts: []lovageyard.Part{{Service: "desk", Weight: 1}},
+		Attempts: 2, Parts: []lovageyard.ServiceWeight{{Service: "desk", Weight: 1}},
 	})
 	return y
 }
@@ -241,14 +241,14 @@
 func good(status int) step {
 	return step{answer: &link.Answer{
 		Status: status, Header: http.Header{"Proof": {"s"}, "Connection": {"close"}}, Body: []byte("whole"),
-		Meta: lovageyard.AnswerMeta{ID: "id-1", Sealed: true},
+		Meta: lovageyard.ResponseMeta{ID: "id-1", Sealed: true},
 	}}
 }
 
 func notRun(status int) step {
 	return step{answer: &link.Answer{
 		Status: status, Header: http.Header{},
-		Meta: lovageyard.AnswerMeta{NotRun: true, Misdirected: status == http.StatusMisdirectedRequest},
+		Meta: lovageyard.ResponseMeta{NotRun: true, Misdirected: status == http.StatusMisdirectedRequest},
 	}}
 }
 
@@ -457,7 +457,7 @@
 	c.Assert(ask("south"), qt.Equals, `{"Addresses":["c"],"TtlS":2}`)
 	c.Assert(ask("west"), qt.Equals, `{"Addresses":["a","c"],"TtlS":2}`)
 	// One that may not know the newest configuration is named if the region has no other.
-	view.Live[0].Behind = true
+	view.Live[0].Stale = true
 	c.Assert(ask("north"), qt.Equals, `{"Addresses":["a"],"TtlS":2}`)
 	view.Live = append(view.Live, member("d", "north", lovageyard.StateLive))
 	c.Assert(ask("north"), qt.Equals, `{"Addresses":["d"],"TtlS":2}`)
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -135,7 +135,7 @@
 	if a.mayBePassed() {
 		x.failed = a
 	}
-	if a.answer != nil && (a.answer.Meta.Misdirected || a.answer.Meta.Notice.Leaving) {
+	if a.answer != nil && (a.answer.Meta.Misdirected || a.answer.Meta.Backpressure.Leaving) {
 		x.handler.Sender.Forget(choice.Server.Name)
 	}
 	x.tellQuarantine(a)
@@ -145,11 +145,11 @@
 // tellQuarantine passes on what an attempt says of the request and its server.
 func (x *exchange) tellQuarantine(a *attempt) {
 	q := x.handler.Quarantine
-	if a.err != nil && a.err.Broken {
+	if a.err != nil && a.err.ConnectionLost {
 		x.broken++
 		q.Lost(a.choice.Server, x.fingerprint, a.sentAt)
 	}
-	if a.err != nil && a.err.Ended || a.answer != nil && a.answer.Meta.Misdirected {
+	if a.err != nil && a.err.ServerExited || a.answer != nil && a.answer.Meta.Misdirected {
 		q.Ended(a.choice.Server)
 	}
 	if a.isGood() {
@@ -176,10 +176,10 @@
 func (x *exchange) outgoing(choice dispatch.Choice, now time.Time) link.Request {
 	header := link.EndToEnd(x.request.Header)
 	x.handler.Codec.Outgoing(header, lovageyard.Forwarding{
-		Left:       x.deadline.Sub(now),
-		Server:     choice.Server.Name,
-		Identified: x.caller.identified,
-		Account:    x.caller.name(),
+		Remaining:     x.deadline.Sub(now),
+		Server:        choice.Server.Name,
+		Authenticated: x.caller.identified,
+		Account:       x.caller.name(),
 	})
 	return link.Request{
 		Method:        x.request.Method,
@@ -192,7 +192,7 @@
 		MaySend:       func() bool { return x.handler.Dispatch.MaySend(choice, x.handler.Timer.Now()) },
 		MayResend:     func() bool { return x.mayResend(choice) },
 		Server:        choice.Server.Name,
-		Life:          choice.Server.Life,
+		Life:          choice.Server.Incarnation,
 		ServerAddress: choice.Server.Address,
 	}
 }
@@ -204,7 +204,7 @@
 		o.Failed = true
 		// A client that left, or a deadline that came before the answer was due, does not
 		// speak against the server.
-		o.Abandoned = a.err.Withheld || ctx.Err() != nil && (x.request.Context().Err() != nil || a.took < 2*a.choice.Expected)
+		o.Abandoned = a.err.Throttled || ctx.Err() != nil && (x.request.Context().Err() != nil || a.took < 2*a.choice.Expected)
 		return o
 	}
 	o.Answered = true
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -201,7 +201,7 @@
 		limit = defaultDeadline
 		end = limit
 	}
-	if client := x.meta.Deadline; client > 0 {
+	if client := x.meta.Timeout; client > 0 {
 		limit = min(limit, client)
 		end = min(end, client-answerMargin)
 	}
--- a/entry/log.go
+++ b/entry/log.go
@@ -72,12 +72,12 @@
 		fields["object"] = strconv.FormatUint(a.choice.Object, 16)
 	}
 	if a.answer != nil {
-		addNotice(fields, a.answer.Meta.Notice)
+		addNotice(fields, a.answer.Meta.Backpressure)
 	}
 }
 
 // addNotice adds what the server has asked for in its answer.
-func addNotice(fields logrus.Fields, n lovageyard.Notice) {
+func addNotice(fields logrus.Fields, n lovageyard.Backpressure) {
 	if n.Limited {
 		fields["server-limit"] = n.Limit
 	}
--- a/entry/lookup.go
+++ b/entry/lookup.go
@@ -62,7 +62,7 @@
 		case m.State != lovageyard.StateLive:
 		case m.Region != region:
 			others = append(others, m.CallerAddress)
-		case m.Behind:
+		case m.Stale:
 			behind = append(behind, m.CallerAddress)
 		default:
 			own = append(own, m.CallerAddress)
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -17,7 +17,7 @@
 }
 
 // Hear takes in the notice of an answer; its request was sent at a time.
-func (o *Notices) Hear(s lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time) {
+func (o *Notices) Hear(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time) {
 	change := o.Dispatch.Hear(s, n, sentAt, o.Timer.Now())
 	log := o.Logger.WithField("server", s.Name)
 	if change.Leaving {
--- a/entry/notice_test.go
+++ b/entry/notice_test.go
@@ -14,7 +14,7 @@
 // The kept connections of a server that leaves are given up with the answer that says so.
 func TestConnectionsOfALeavingServerAreForgotten(t *testing.T) {
 	leaving := good(200)
-	leaving.answer.Meta.Notice.Leaving = true
+	leaving.answer.Meta.Backpressure.Leaving = true
 	y := newYard(t, leaving)
 	y.c.Assert(y.ask(http.MethodGet, "/x/", "").StatusCode, qt.Equals, http.StatusOK)
 	y.c.Assert(y.sender.forgotten, qt.DeepEquals, []string{y.sender.sent[0].Server})
@@ -25,7 +25,7 @@
 // table of servers.
 func backingOff() step {
 	s := notRun(503)
-	s.answer.Meta.Notice.Backoff = 7 * time.Second
+	s.answer.Meta.Backpressure.Backoff = 7 * time.Second
 	return s
 }
 
@@ -54,7 +54,7 @@
 // A request that was withheld says nothing against its server.
 func TestWithheldRequestIsServedElsewhereAndBlamesNobody(t *testing.T) {
 	withheld := lovageyard.NotRun("not wanted", nil)
-	withheld.Withheld = true
+	withheld.Throttled = true
 	y := newYardOf(t, 1, step{err: withheld}, good(200))
 	y.serving = y.handler()
 	y.c.Assert(y.ask(http.MethodGet, "/x/", "").StatusCode, qt.Equals, http.StatusServiceUnavailable)
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -15,7 +15,7 @@
 // broken is an attempt whose server ends while it has the request.
 func broken() step {
 	err := lovageyard.MayHaveRun("the connection was closed", nil)
-	err.Broken, err.Ended = true, true
+	err.ConnectionLost, err.ServerExited = true, true
 	return step{err: err}
 }
 
--- a/fleet/confirm_test.go
+++ b/fleet/confirm_test.go
@@ -92,7 +92,7 @@
 	isBehind := func(name string) bool {
 		for _, m := range first.View().Live {
 			if m.Name == name {
-				return m.Behind
+				return m.Stale
 			}
 		}
 		return false
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -179,7 +179,7 @@
 	return c.view.Load()
 }
 
-func (c *Control) run(ticks lovageyard.Ticks) {
+func (c *Control) run(ticks lovageyard.Ticker) {
 	defer ticks.Close()
 	starting := c.settings.Timer.Subscribe(startEvery)
 	defer starting.Close()
@@ -237,8 +237,8 @@
 // beat tells anew that this instance is alive.
 func (c *Control) beat(now time.Time) {
 	c.self.Heartbeat++
-	if behind := c.isBehind(); behind != c.self.Behind {
-		c.self.Behind = behind
+	if behind := c.isBehind(); behind != c.self.Stale {
+		c.self.Stale = behind
 		c.dirty = true
 	}
 	c.self.Version = c.state.Cursor(lovageyard.TableOrders)
@@ -382,7 +382,7 @@
 func (c *Control) register() {
 	self := c.settings.Self
 	// A row outlives the life that wrote it.
-	self.Life = 0
+	self.Incarnation = 0
 	value, err := json.Marshal(self)
 	if err != nil {
 		c.settings.Logger.WithError(err).Error("this instance can't be registered")
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -87,7 +87,7 @@
 		Version:  1,
 		Services: map[string]lovageyard.Service{"desk": {Name: "desk"}},
 		Routes: []lovageyard.Route{{
-			Name: "r", Host: "a.example", Prefix: "/", Attempts: 1, Parts: []lovageyard.Part{{Service: "desk"}},
+			Name: "r", Host: "a.example", Prefix: "/", Attempts: 1, Parts: []lovageyard.ServiceWeight{{Service: "desk"}},
 		}},
 	})
 	return g
@@ -126,7 +126,7 @@
 func (g *group) settings(name string, life int64, feed lovageyard.Feed, registrar fleet.Registrar, seeds ...string) fleet.Settings {
 	return fleet.Settings{
 		Self: lovageyard.EntryInstance{
-			Name: name, Life: life, FailureDomain: cmp.Or(g.domains[name], "north-1"), Region: "north",
+			Name: name, Incarnation: life, FailureDomain: cmp.Or(g.domains[name], "north-1"), Region: "north",
 			CallerAddress: name + ":1", PeerAddress: name + ":2", State: lovageyard.StateLive,
 		},
 		Feed: feed, Registrar: registrar, Decoder: platform.Decoder{}, Peers: peers{network: g.network, self: name + ":2"},
@@ -306,7 +306,7 @@
 	defer g.stop("entry-1")
 	good := func(name string, slots int) lovageyard.BackendServer {
 		return lovageyard.BackendServer{
-			Name: name, Service: "desk", FailureDomain: "north-1", Address: "127.0.0.1:9", Slots: slots, Life: 5, State: lovageyard.StateLive,
+			Name: name, Service: "desk", FailureDomain: "north-1", Address: "127.0.0.1:9", Slots: slots, Incarnation: 5, State: lovageyard.StateLive,
 		}
 	}
 	untilServers := func(what string, want ...string) {
--- a/fleet/hold.go
+++ b/fleet/hold.go
@@ -51,7 +51,7 @@
 		c.settings.Metrics.Count(meter.PlatformWrites)
 		// A write of which the outcome is not known may be made again.
 		_, err = c.settings.Registrar.Transact(c.inbox.Context(), lovageyard.Transaction{
-			Writes: []lovageyard.Write{{Table: lovageyard.TableHolds, Key: key, Value: value}},
+			Writes: []lovageyard.Write{{Table: lovageyard.TableQuarantine, Key: key, Value: value}},
 		})
 		if err == nil {
 			return
@@ -64,13 +64,13 @@
 // readHolds reads the requests that are held, once, and removes rows of others.
 func (c *Control) readHolds() {
 	for c.inbox.Context().Err() == nil {
-		c.settings.Metrics.Count(meter.PlatformReads, lovageyard.TableHolds)
-		list, err := c.settings.Feed.Rows(c.inbox.Context(), lovageyard.TableHolds)
+		c.settings.Metrics.Count(meter.PlatformReads, lovageyard.TableQuarantine)
+		list, err := c.settings.Feed.Rows(c.inbox.Context(), lovageyard.TableQuarantine)
 		if err == nil {
 			c.takeHolds(list.Rows)
 			return
 		}
-		c.settings.Metrics.Count(meter.PlatformFailures, lovageyard.TableHolds, causeOf(err))
+		c.settings.Metrics.Count(meter.PlatformFailures, lovageyard.TableQuarantine, causeOf(err))
 		c.pause(holdEvery)
 	}
 }
--- a/fleet/hold_test.go
+++ b/fleet/hold_test.go
@@ -33,14 +33,14 @@
 		lose(first, fmt.Sprint("server-", n), deadly)
 	}
 	rows := func() []lovageyard.Row {
-		list, err := client.Rows(t.Context(), lovageyard.TableHolds)
+		list, err := client.Rows(t.Context(), lovageyard.TableQuarantine)
 		g.c.Assert(err, qt.IsNil)
 		return list.Rows
 	}
 	g.until("the row", func() bool { return len(rows()) == 1 })
 	// A row of long ago, and one that another program wrote.
-	g.store.Put(platform.StoreTable(lovageyard.TableHolds), "1", map[string]any{"crashes": []any{}})
-	g.store.Put(platform.StoreTable(lovageyard.TableHolds), "none", "nonsense")
+	g.store.Put(platform.StoreTable(lovageyard.TableQuarantine), "1", map[string]any{"crashes": []any{}})
+	g.store.Put(platform.StoreTable(lovageyard.TableQuarantine), "none", "nonsense")
 	g.stop("entry-0")
 	second := start("entry-1")
 	defer g.stop("entry-1")
--- a/fleet/narrow_test.go
+++ b/fleet/narrow_test.go
@@ -93,7 +93,7 @@
 	for range routes {
 		c.Routes = append(c.Routes, lovageyard.Route{
 			Name: fmt.Sprintf("r-%x", random.Uint32()), Host: "a.example", Prefix: fmt.Sprintf("/%x/", random.Uint64()),
-			Attempts: 1, Parts: []lovageyard.Part{{Service: "desk"}},
+			Attempts: 1, Parts: []lovageyard.ServiceWeight{{Service: "desk"}},
 		})
 	}
 	return c
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -54,7 +54,7 @@
 	begun chan time.Duration
 }
 
-func (p pauses) After(d time.Duration) lovageyard.Ticks {
+func (p pauses) After(d time.Duration) lovageyard.Ticker {
 	ticks := p.Manual.After(d)
 	p.begun <- d
 	return ticks
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -155,10 +155,10 @@
 	for _, m := range c.members.GossipOf(c.self.Region, maxPulses, c.settings.Timer.Now()) {
 		out = append(out, &wire.Pulse{
 			Instance:  m.Name,
-			Life:      m.Life,
+			Life:      m.Incarnation,
 			Heartbeat: m.Heartbeat,
 			Leaving:   m.State != lovageyard.StateLive,
-			Behind:    m.Behind,
+			Behind:    m.Stale,
 			AgeMs:     m.Age.Milliseconds(),
 		})
 	}
@@ -243,10 +243,10 @@
 	if !known {
 		return
 	}
-	m.Life = p.GetLife()
+	m.Incarnation = p.GetLife()
 	m.Heartbeat = p.GetHeartbeat()
 	m.Age = time.Duration(p.GetAgeMs()) * time.Millisecond
-	m.Behind = p.GetBehind()
+	m.Stale = p.GetBehind()
 	m.State = lovageyard.StateLive
 	if p.GetLeaving() {
 		m.State = lovageyard.StateLeaving
@@ -260,13 +260,13 @@
 	if m.Name != c.self.Name {
 		before, known := c.members.Find(m.Name)
 		c.members.Hear(m, now)
-		if !known || before.State != m.State || before.Behind != m.Behind || before.CallerAddress != m.CallerAddress {
+		if !known || before.State != m.State || before.Stale != m.Stale || before.CallerAddress != m.CallerAddress {
 			c.dirty = true
 		}
 		return
 	}
-	if m.Life > c.self.Life || m.Life == c.self.Life && m.Heartbeat > c.self.Heartbeat {
-		c.self.Life = m.Life + 1
+	if m.Incarnation > c.self.Incarnation || m.Incarnation == c.self.Incarnation && m.Heartbeat > c.self.Heartbeat {
+		c.self.Incarnation = m.Incarnation + 1
 		c.members.Hear(c.self, now)
 	}
 }
--- a/instance.go
+++ b/instance.go
@@ -15,7 +15,7 @@
 // EntryInstance is one running lovageyardd as others know it.
 type EntryInstance struct {
 	Name            string        `json:"instance"`
-	Life            int64         `json:"life"`
+	Incarnation     int64         `json:"life"`
 	FailureDomain   string        `json:"failure-domain"`
 	Region          string        `json:"region"`
 	CallerAddress   string        `json:"caller-address"`
@@ -24,16 +24,16 @@
 	State           InstanceState `json:"state"`
 	// LinkMbps is what its link carries in Mbit/s; 0 means that it is not known.
 	LinkMbps float64 `json:"link-mbps,omitzero"`
-	// Behind says that the instance may not know the newest configuration, so that it refuses requests with keys.
-	Behind bool `json:"behind,omitempty"`
+	// Stale says that the instance may not know the newest configuration, so that it refuses requests with keys.
+	Stale bool `json:"behind,omitempty"`
 }
 
 // BackendServer is one instance that runs a service, as the platform lists it.
 type BackendServer struct {
 	Name string `json:"server"`
-	// Life is when the server started by its own clock, in Unix milliseconds, or 0 if it does not
+	// Incarnation is when the server started by its own clock, in Unix milliseconds, or 0 if it does not
 	// tell. It only tells lives apart: which of two is the later one, the platform's versions say.
-	Life          int64         `json:"life,omitzero"`
+	Incarnation   int64         `json:"life,omitzero"`
 	Service       string        `json:"service"`
 	Site          string        `json:"site"`
 	FailureDomain string        `json:"failure-domain"`
@@ -64,7 +64,7 @@
 }
 
 // Answer is what one exchange with a backend server taught about it.
-type Answer struct {
+type Outcome struct {
 	At       time.Time
 	Duration time.Duration
 	Report   LoadReport
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -14,7 +14,7 @@
 
 func member(name, domain string, life, heartbeat int64) Member {
 	return Member{
-		EntryInstance: lovageyard.EntryInstance{Name: name, FailureDomain: domain, Region: domain[:1], Life: life, State: lovageyard.StateLive},
+		EntryInstance: lovageyard.EntryInstance{Name: name, FailureDomain: domain, Region: domain[:1], Incarnation: life, State: lovageyard.StateLive},
 		Heartbeat:     heartbeat,
 	}
 }
--- a/instance/table.go
+++ b/instance/table.go
@@ -98,7 +98,7 @@
 	if e.heard && !newer(m, e.member) {
 		return false
 	}
-	if e.heard && m.Life > e.member.Life {
+	if e.heard && m.Incarnation > e.member.Incarnation {
 		fire(e.machine, eventNewLife)
 	}
 	before := e.machine.Current()
@@ -128,8 +128,8 @@
 }
 
 func newer(m, known Member) bool {
-	if m.Life != known.Life {
-		return m.Life > known.Life
+	if m.Incarnation != known.Incarnation {
+		return m.Incarnation > known.Incarnation
 	}
 	return m.Heartbeat > known.Heartbeat
 }
@@ -153,7 +153,7 @@
 			}
 		}
 		e.listed = true
-		if listed.State != lovageyard.StateLive && listed.Life >= e.member.Life && listed.Name != t.self {
+		if listed.State != lovageyard.StateLive && listed.Incarnation >= e.member.Incarnation && listed.Name != t.self {
 			fire(e.machine, eventLeaving)
 		}
 		if before != e.machine.Current() {
--- a/integration/accounts_test.go
+++ b/integration/accounts_test.go
@@ -44,7 +44,7 @@
 		Version: version,
 		Routes: []lovageyard.Route{{
 			Name: keyedService, Host: edgeHost, Prefix: "/keyed/", Idempotent: true, Timeout: 20 * time.Second, Goal: time.Second,
-			Attempts: 2, Parts: []lovageyard.Part{{Service: keyedService, Weight: 1}},
+			Attempts: 2, Parts: []lovageyard.ServiceWeight{{Service: keyedService, Weight: 1}},
 		}},
 		Services: map[string]lovageyard.Service{keyedService: {Name: keyedService, HealthPath: "/health", MaxConnections: 400}},
 		Accounts: accounts,
--- a/integration/edge_test.go
+++ b/integration/edge_test.go
@@ -101,7 +101,7 @@
 	route := func(name, prefix, service string, idempotent bool, timeout time.Duration) lovageyard.Route {
 		return lovageyard.Route{
 			Name: name, Host: edgeHost, Prefix: prefix, Idempotent: idempotent, Timeout: timeout, Goal: 100 * time.Millisecond,
-			Attempts: 2, Sticky: true, Parts: []lovageyard.Part{{Service: service, Weight: 1}},
+			Attempts: 2, Sticky: true, Parts: []lovageyard.ServiceWeight{{Service: service, Weight: 1}},
 		}
 	}
 	services := make(map[string]lovageyard.Service)
--- a/link/exchange.go
+++ b/link/exchange.go
@@ -46,7 +46,7 @@
 		return lovageyard.NotRun("no byte of the request was sent", err)
 	}
 	failure := lovageyard.MayHaveRun("the backend server did not answer", err)
-	failure.Broken = isBroken(err)
+	failure.ConnectionLost = isBroken(err)
 	return failure
 }
 
@@ -134,7 +134,7 @@
 }
 
 // whole reads an answer to its end; one that breaks off is an error.
-func whole(response *http.Response, meta lovageyard.AnswerMeta) (*Answer, error) {
+func whole(response *http.Response, meta lovageyard.ResponseMeta) (*Answer, error) {
 	defer response.Body.Close()
 	var body bytes.Buffer
 	if n := response.ContentLength; n > 0 && n <= maxGrow {
--- a/link/failure.go
+++ b/link/failure.go
@@ -11,14 +11,14 @@
 // notReached returns the failure of a request for which no connection could be opened.
 func notReached(err error) *lovageyard.RequestError {
 	failure := lovageyard.NotRun("the backend server could not be reached", err)
-	failure.Ended = isRefused(err)
+	failure.ServerExited = isRefused(err)
 	return failure
 }
 
 // withheld returns the failure of a request that the server did not want any more when it could be sent.
 func withheld() *lovageyard.RequestError {
 	failure := lovageyard.NotRun("the backend server has asked for no more meanwhile", nil)
-	failure.Withheld = true
+	failure.Throttled = true
 	return failure
 }
 
--- a/link/link.go
+++ b/link/link.go
@@ -42,13 +42,13 @@
 
 // Codec translates the headers of the wire.
 type Codec interface {
-	Answer(r *http.Response) lovageyard.AnswerMeta
+	Answer(r *http.Response) lovageyard.ResponseMeta
 }
 
 // Observer is told what servers ask for in their answers.
 type Observer interface {
 	// Hear takes in the notice of an answer, as soon as its head is there; its request was sent at a time.
-	Hear(server lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time)
+	Hear(server lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time)
 }
 
 // Request is one request as a backend server gets it.
@@ -87,7 +87,7 @@
 
 // peerOf returns what connections to a server lead to.
 func peerOf(s lovageyard.BackendServer) peer {
-	return peer{server: s.Name, life: s.Life, address: s.Address}
+	return peer{server: s.Name, life: s.Incarnation, address: s.Address}
 }
 
 // Answer is a whole answer of a backend server.
@@ -95,7 +95,7 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	Meta   lovageyard.AnswerMeta
+	Meta   lovageyard.ResponseMeta
 	// DialTime is how long a new connection took; 0 if one was reused.
 	DialTime time.Duration
 }
@@ -118,11 +118,11 @@
 }
 
 // hear tells the observer what an answer asks for, if it is the server's own and not that of another at its address.
-func (l *Link) hear(p peer, meta lovageyard.AnswerMeta, sentAt time.Time) {
+func (l *Link) hear(p peer, meta lovageyard.ResponseMeta, sentAt time.Time) {
 	if l.observer == nil || meta.Misdirected {
 		return
 	}
-	l.observer.Hear(lovageyard.BackendServer{Name: p.server, Life: p.life, Address: p.address}, meta.Notice, sentAt)
+	l.observer.Hear(lovageyard.BackendServer{Name: p.server, Incarnation: p.life, Address: p.address}, meta.Backpressure, sentAt)
 }
 
 // Send makes one attempt. The error is a *lovageyard.RequestError. When ctx ends, the
@@ -158,7 +158,7 @@
 		ended = answer.Meta.Misdirected
 	}
 	failure := lovageyard.MayHaveRun(reason, err)
-	failure.Broken, failure.Ended = true, ended
+	failure.ConnectionLost, failure.ServerExited = true, ended
 	return nil, failure
 }
 
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -23,9 +23,9 @@
 // codec reads the identity of an answer, and refusals.
 type codec struct{}
 
-func (codec) Answer(r *http.Response) lovageyard.AnswerMeta {
+func (codec) Answer(r *http.Response) lovageyard.ResponseMeta {
 	misdirected := r.StatusCode == http.StatusMisdirectedRequest
-	return lovageyard.AnswerMeta{
+	return lovageyard.ResponseMeta{
 		ID: r.Header.Get("Id"), Sealed: true,
 		NotRun: misdirected || r.StatusCode == http.StatusServiceUnavailable, Misdirected: misdirected,
 	}
@@ -235,8 +235,8 @@
 		_, err = send(c, l, request(b, "2", true))
 		c.Assert(err, qt.IsNotNil, qt.Commentf("%s", status))
 		c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
-		c.Assert(failureOf(c, err).Broken, qt.IsTrue)
-		c.Assert(failureOf(c, err).Ended, qt.Equals, strings.HasPrefix(status, "421"))
+		c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
+		c.Assert(failureOf(c, err).ServerExited, qt.Equals, strings.HasPrefix(status, "421"))
 	}
 }
 
@@ -393,18 +393,18 @@
 	b := newBackendServer(c, "", answer("2", "two"), "")
 	l := newLink(c)
 	_, err := send(c, l, request(b, "1", true))
-	c.Assert(failureOf(c, err).Broken, qt.IsTrue)
-	c.Assert(failureOf(c, err).Ended, qt.IsFalse)
+	c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
+	c.Assert(failureOf(c, err).ServerExited, qt.IsFalse)
 	_, err = send(c, l, request(b, "2", true))
 	c.Assert(err, qt.IsNil)
 	b.listener.Close()
 	// The kept connection is closed, and a new one refused.
 	_, err = send(c, l, request(b, "3", true))
-	c.Assert(failureOf(c, err).Broken, qt.IsTrue)
-	c.Assert(failureOf(c, err).Ended, qt.IsTrue)
+	c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
+	c.Assert(failureOf(c, err).ServerExited, qt.IsTrue)
 	_, err = send(c, l, request(b, "4", true))
-	c.Assert(failureOf(c, err).Broken, qt.IsFalse)
-	c.Assert(failureOf(c, err).Ended, qt.IsTrue)
+	c.Assert(failureOf(c, err).ConnectionLost, qt.IsFalse)
+	c.Assert(failureOf(c, err).ServerExited, qt.IsTrue)
 }
 
 func TestProbeTellsAServerThatEnded(t *testing.T) {
--- a/link/notice_test.go
+++ b/link/notice_test.go
@@ -19,12 +19,12 @@
 // observer collects what servers ask for.
 type observer struct {
 	mu      sync.Mutex
-	notices []lovageyard.Notice
+	notices []lovageyard.Backpressure
 	// heard is called with each notice, if it is set.
 	heard func()
 }
 
-func (o *observer) Hear(_ lovageyard.BackendServer, n lovageyard.Notice, _ time.Time) {
+func (o *observer) Hear(_ lovageyard.BackendServer, n lovageyard.Backpressure, _ time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.notices = append(o.notices, n)
@@ -33,18 +33,18 @@
 	}
 }
 
-func (o *observer) all() []lovageyard.Notice {
+func (o *observer) all() []lovageyard.Backpressure {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]lovageyard.Notice(nil), o.notices...)
+	return append([]lovageyard.Backpressure(nil), o.notices...)
 }
 
 // limiting reads the answers' status as a limit.
 type limiting struct{ codec }
 
-func (l limiting) Answer(r *http.Response) lovageyard.AnswerMeta {
+func (l limiting) Answer(r *http.Response) lovageyard.ResponseMeta {
 	meta := l.codec.Answer(r)
-	meta.Notice = lovageyard.Notice{Limited: true, Limit: float64(r.StatusCode)}
+	meta.Backpressure = lovageyard.Backpressure{Limited: true, Limit: float64(r.StatusCode)}
 	return meta
 }
 
@@ -116,7 +116,7 @@
 	var failure *lovageyard.RequestError
 	c.Assert(errors.As(err, &failure), qt.IsTrue)
 	c.Assert(failure.Verdict, qt.Equals, lovageyard.VerdictNotRun)
-	c.Assert(failure.Withheld, qt.IsTrue)
+	c.Assert(failure.Throttled, qt.IsTrue)
 	_, err = send(c, l, request(b, "2", true))
 	c.Assert(err, qt.IsNil)
 	requests, conns := b.seen()
--- a/link/report.go
+++ b/link/report.go
@@ -25,8 +25,8 @@
 type OwnHeaders struct{}
 
 // Answer returns what an answer says about itself.
-func (OwnHeaders) Answer(r *http.Response) lovageyard.AnswerMeta {
-	var meta lovageyard.AnswerMeta
+func (OwnHeaders) Answer(r *http.Response) lovageyard.ResponseMeta {
+	var meta lovageyard.ResponseMeta
 	meta.Load, meta.Reported = ReportOf(r.Header)
 	return meta
 }
--- a/link/stream.go
+++ b/link/stream.go
@@ -28,7 +28,7 @@
 	if failure == nil {
 		return response, nil
 	}
-	if !failure.Broken || !replayable || r.Context().Err() != nil {
+	if !failure.ConnectionLost || !replayable || r.Context().Err() != nil {
 		return nil, failure
 	}
 	response, err := l.streamFresh(r, s)
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -106,7 +106,7 @@
 	clock := timer.Clock{}
 	self := lovageyard.EntryInstance{
 		Name:            o.Instance,
-		Life:            clock.Now().UnixNano(),
+		Incarnation:     clock.Now().UnixNano(),
 		FailureDomain:   o.FailureDomain,
 		Region:          o.Region,
 		CallerAddress:   l.callers.Addr().String(),
@@ -156,9 +156,9 @@
 		Pool:      server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
 		Latencies: placement.Latencies{SameRegion: o.SameRegionDelay, Else: o.OtherRegionDelay},
 		LeaseSpan: o.LeaseSpan,
-		Seed:      uint64(self.Life),
+		Seed:      uint64(self.Incarnation),
 	})
-	d.charges = charge.NewBook(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Life))
+	d.charges = charge.NewBook(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
 	handler := caller.NewHandler(caller.Parts{
 		Source:   d.control,
 		Watcher:  d.control,
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -116,7 +116,7 @@
 	clock := timer.Clock{}
 	self := lovageyard.EntryInstance{
 		Name:          o.Instance,
-		Life:          clock.Now().UnixNano(),
+		Incarnation:   clock.Now().UnixNano(),
 		FailureDomain: o.FailureDomain,
 		Region:        o.Region,
 		CallerAddress: sockets.callers.Addr().String(),
@@ -154,7 +154,7 @@
 		Region:        o.Region,
 		Demand:        o.demand(),
 		Bounds:        o.bounds(),
-		Seed:          uint64(self.Life),
+		Seed:          uint64(self.Incarnation),
 	})
 	notices := &entry.Notices{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
 	e.link = link.New(platform.Headers{}, e.timer, notices)
@@ -171,7 +171,7 @@
 		Logger:     e.logger,
 		Metrics:    e.meters,
 		Seeds:      o.PeerAddresses,
-		Seed:       uint64(self.Life),
+		Seed:       uint64(self.Incarnation),
 
 		ConfirmWithin: o.RevokeWithin,
 	})
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -11,7 +11,7 @@
 func FromMember(m instance.Member) *wire.Member {
 	w := &wire.Member{
 		Instance:        m.Name,
-		Life:            m.Life,
+		Life:            m.Incarnation,
 		FailureDomain:   m.FailureDomain,
 		Region:          m.Region,
 		CallerAddress:   m.CallerAddress,
@@ -21,7 +21,7 @@
 		Heartbeat:       m.Heartbeat,
 		Version:         m.Version,
 		LinkMbps:        m.LinkMbps,
-		Behind:          m.Behind,
+		Behind:          m.Stale,
 	}
 	w.Steps = FromSteps(m.Steps)
 	return w
@@ -50,7 +50,7 @@
 	m := instance.Member{Heartbeat: w.GetHeartbeat(), Version: w.GetVersion(), Steps: ToSteps(w.GetSteps())}
 	m.EntryInstance = lovageyard.EntryInstance{
 		Name:            w.GetInstance(),
-		Life:            w.GetLife(),
+		Incarnation:     w.GetLife(),
 		FailureDomain:   w.GetFailureDomain(),
 		Region:          w.GetRegion(),
 		CallerAddress:   w.GetCallerAddress(),
@@ -58,7 +58,7 @@
 		OperatorAddress: w.GetOperatorAddress(),
 		State:           lovageyard.InstanceState(w.GetState()),
 		LinkMbps:        w.GetLinkMbps(),
-		Behind:          w.GetBehind(),
+		Stale:           w.GetBehind(),
 	}
 	return m
 }
--- a/ports.go
+++ b/ports.go
@@ -111,7 +111,7 @@
 }
 
 // Ticks is one subscription to a Timer.
-type Ticks interface {
+type Ticker interface {
 	// C delivers the time of each tick; a tick that finds the last one unread is dropped.
 	C() <-chan time.Time
 	// Close ends the subscription.
@@ -123,9 +123,9 @@
 	Now() time.Time
 	// Elapsed is the time since a fixed moment, that included in which the machine was suspended.
 	Elapsed() time.Duration
-	Subscribe(every time.Duration) Ticks
+	Subscribe(every time.Duration) Ticker
 	// After returns a channel that delivers once, when the time has passed.
-	After(d time.Duration) Ticks
+	After(d time.Duration) Ticker
 }
 
 // Backend sends requests to backend servers.
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -106,7 +106,7 @@
 	w.settings.Metrics.Count(meter.ServersEnded, server.Service)
 	w.settings.Logger.WithFields(logrus.Fields{
 		"server":       server.Name,
-		"life":         server.Life,
+		"life":         server.Incarnation,
 		"service":      server.Service,
 		"requests":     len(requests),
 		"fingerprints": format(requests),
@@ -252,7 +252,7 @@
 }
 
 func lifeOf(server lovageyard.BackendServer) Server {
-	return Server{Name: server.Name, Life: server.Life}
+	return Server{Name: server.Name, Life: server.Incarnation}
 }
 
 func format(requests []uint64) []string {
--- a/server/model_test.go
+++ b/server/model_test.go
@@ -200,7 +200,7 @@
 			report.InFlight, report.Queued = 0, 0
 		}
 		r.after(r.delay, func() {
-			e.pool.Release(result, lovageyard.Answer{At: r.now, Duration: r.now.Sub(sentAt), Report: report, Reported: true, Failed: failed})
+			e.pool.Release(result, lovageyard.Outcome{At: r.now, Duration: r.now.Sub(sentAt), Report: report, Reported: true, Failed: failed})
 			r.end(e, q, host, failed)
 			r.poll(e)
 		})
--- a/server/pool.go
+++ b/server/pool.go
@@ -139,7 +139,7 @@
 }
 
 // Release returns the slot that a result gave and passes it to the queue.
-func (p *Pool) Release(r Result, a lovageyard.Answer) {
+func (p *Pool) Release(r Result, a lovageyard.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.member.inFlight--
--- a/server/pool_test.go
+++ b/server/pool_test.go
@@ -34,8 +34,8 @@
 	return Request{Now: at, Deadline: at.Add(deadline), Importance: importance}
 }
 
-func answered(at time.Time, took time.Duration) lovageyard.Answer {
-	return lovageyard.Answer{At: at, Duration: took}
+func answered(at time.Time, took time.Duration) lovageyard.Outcome {
+	return lovageyard.Outcome{At: at, Duration: took}
 }
 
 func TestPoolFillsSlotsThenQueuesThenRefuses(t *testing.T) {
--- a/server/state.go
+++ b/server/state.go
@@ -126,7 +126,7 @@
 }
 
 // learn takes in what one answer taught.
-func (m *member) learn(a lovageyard.Answer) {
+func (m *member) learn(a lovageyard.Outcome) {
 	if a.Reported {
 		m.learnReport(a.At, a.Report)
 	}
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -110,7 +110,7 @@
 // pendingNotice is what a server's answer to a request asked for.
 type pendingNotice struct {
 	server string
-	notice lovageyard.Notice
+	notice lovageyard.Backpressure
 	at     time.Time
 }
 
@@ -144,7 +144,7 @@
 }
 
 // Asked notes what the answer to a request asks for.
-func (c *checker) Asked(server, id string, n lovageyard.Notice) {
+func (c *checker) Asked(server, id string, n lovageyard.Backpressure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -107,7 +107,7 @@
 			for i := range 3 {
 				id := fmt.Sprint(i)
 				c.Send(id, "127.0.0.1:1", false)
-				c.Asked("s", id, lovageyard.Notice{Backoff: time.Minute})
+				c.Asked("s", id, lovageyard.Backpressure{Backoff: time.Minute})
 				r := c.notices.backoffs[way{"s", ""}]
 				r.asked = time.Now().Add(-2 * time.Second)
 				c.notices.backoffs[way{"s", ""}] = r
@@ -118,7 +118,7 @@
 			for i := range 9 {
 				id := fmt.Sprint(i)
 				c.Send(id, "127.0.0.1:1", false)
-				c.Asked("s", id, lovageyard.Notice{Limited: true, Limit: 0.5})
+				c.Asked("s", id, lovageyard.Backpressure{Limited: true, Limit: 0.5})
 				c.Ended(outcome{ID: id, Status: 200, Whole: true, Own: true})
 				c.notices.namedAt["s"] = time.Now().Add(-time.Minute)
 				c.notices.limited[way{"s", ""}] = time.Now().Add(-time.Minute)
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -242,7 +242,7 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	again := b.BackendServer
-	again.Life = time.Now().UnixMilli()
+	again.Incarnation = time.Now().UnixMilli()
 	again.ColdFor = lovageyard.Duration(coldFor)
 	server, err := fake.StartServer(again, serverWork, y.check)
 	if err != nil {
--- a/soak/yard.go
+++ b/soak/yard.go
@@ -137,7 +137,7 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.version += 2 + y.version%3
-	parts := []lovageyard.Part{{Service: service, Weight: 1}}
+	parts := []lovageyard.ServiceWeight{{Service: service, Weight: 1}}
 	route := func(name, prefix string, idempotent bool) lovageyard.Route {
 		return lovageyard.Route{
 			Name: name, Host: requestHost, Prefix: prefix, Idempotent: idempotent, Timeout: 2 * time.Second,
@@ -177,7 +177,7 @@
 	}
 	if y.count%2 == 0 {
 		// The others are older programs, which don't tell their start.
-		described.Life = time.Now().UnixMilli()
+		described.Incarnation = time.Now().UnixMilli()
 	}
 	if len(y.instances) > 0 {
 		// An instance that starts just then learns from the entry alone that the server is cold.
--- a/steering.go
+++ b/steering.go
@@ -22,7 +22,7 @@
 	// Rank orders routes under overload; 0 is served first.
 	Rank int
 	// Parts are the services that share the requests by weight; at least one.
-	Parts []Part
+	Parts []ServiceWeight
 	// Attempts is the largest number of servers that one request may be sent to.
 	Attempts int
 	// Sticky says that a server that handled an object lately works faster on it.
@@ -34,7 +34,7 @@
 }
 
 // Part is one service of a route and its share of the requests.
-type Part struct {
+type ServiceWeight struct {
 	Service string
 	Weight  float64
 }
@@ -66,7 +66,7 @@
 	TableServers   = "servers"
 	TableInstances = "instances"
 	// TableHolds has the requests that are refused as servers end under them; it is not followed.
-	TableHolds = "holds"
+	TableQuarantine = "holds"
 )
 
 // FollowedTables lists the tables that each entry instance follows.
@@ -132,13 +132,13 @@
 	// Key names the object that the request concerns, or is "".
 	Key string
 	// Deadline is how long the client waits; 0 means that it did not say.
-	Deadline time.Duration
+	Timeout time.Duration
 	// Credentials tell whose request it is.
 	Credentials Credentials
 }
 
 // AnswerMeta is what a backend server's answer says about itself.
-type AnswerMeta struct {
+type ResponseMeta struct {
 	// ID is the request that the answer belongs to, or "" if it does not say.
 	ID string
 	// Sealed says that the server vouches for the answer.
@@ -151,17 +151,17 @@
 	Load     LoadReport
 	Reported bool
 	// ColdFor is how long the server stays slow, if it said so.
-	ColdFor time.Duration
-	Notice  Notice
+	ColdFor      time.Duration
+	Backpressure Backpressure
 }
 
 // Notice is what a backend server's answer asks of those who send to it.
-type Notice struct {
+type Backpressure struct {
 	// Limited says that the server takes only Limit requests a second, from all instances together.
 	Limited bool
 	Limit   float64
 	// Unclear says that the answer names a limit that can't be read.
-	Unclear bool
+	InvalidLimit bool
 	// Leaving says that the server takes no new work any more.
 	Leaving bool
 	// Backoff is how long the server wants nothing from this instance, or 0.
--- a/timer/clock.go
+++ b/timer/clock.go
@@ -27,12 +27,12 @@
 }
 
 // Subscribe delivers a tick each time the span has passed.
-func (Clock) Subscribe(every time.Duration) lovageyard.Ticks {
+func (Clock) Subscribe(every time.Duration) lovageyard.Ticker {
 	return &clockTicks{ticker: time.NewTicker(every)}
 }
 
 // After delivers one tick when d has passed.
-func (Clock) After(d time.Duration) lovageyard.Ticks {
+func (Clock) After(d time.Duration) lovageyard.Ticker {
 	return &clockTimer{timer: time.NewTimer(d)}
 }
 
--- a/timer/manual.go
+++ b/timer/manual.go
@@ -42,12 +42,12 @@
 }
 
 // Subscribe delivers a tick for each multiple of the span that Advance passes.
-func (m *Manual) Subscribe(every time.Duration) lovageyard.Ticks {
+func (m *Manual) Subscribe(every time.Duration) lovageyard.Ticker {
 	return m.add(every, every)
 }
 
 // After delivers one tick when Advance has passed d.
-func (m *Manual) After(d time.Duration) lovageyard.Ticks {
+func (m *Manual) After(d time.Duration) lovageyard.Ticker {
 	return m.add(d, 0)
 }
 
--- a/verdict.go
+++ b/verdict.go
@@ -31,11 +31,11 @@
 	Reason  string
 	Cause   error
 	// Broken says that the server broke off the connection while it had the request.
-	Broken bool
+	ConnectionLost bool
 	// Ended says that the server has ended: its port refuses connections, or is another's.
-	Ended bool
+	ServerExited bool
 	// Withheld says that nothing was sent, as the server had asked for no more.
-	Withheld bool
+	Throttled bool
 }
 
 // Error returns the reason and the cause.
