--- a/catalog/life_test.go
+++ b/catalog/life_test.go
@@ -15,7 +15,7 @@
 // incarnationRow returns the entry of one incarnation of a server.
 func incarnationRow(c *qt.C, name string, version, life int64, state lovageyard.InstanceState) lovageyard.Row {
 	server := newServer(name, state)
-	server.Life = life
+	server.Incarnation = life
 	return row(c, lovageyard.TableServers, name, version, server)
 }
 
@@ -59,12 +59,12 @@
 	s := populatedState(c, start)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 20, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
 	s.ApplyChanges(lovageyard.TableServers, changes(20, 30, incarnationRow(c, "a", 30, 100, lovageyard.StateLive)), start)
-	c.Assert(find(s, "a").Life, qt.Equals, int64(100))
+	c.Assert(find(s, "a").Incarnation, qt.Equals, int64(100))
 	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
 	// A late report of the previous incarnation changes nothing, whoever sends it.
 	s.ApplyChanges(lovageyard.TableServers, changes(0, 25, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
 	s.ApplyList(lovageyard.TableServers, changes(0, 30, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
-	c.Assert(find(s, "a").Life, qt.Equals, int64(100))
+	c.Assert(find(s, "a").Incarnation, qt.Equals, int64(100))
 	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
 }
 
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -230,7 +230,7 @@
 		return
 	}
 	cold := r.Server.ColdFor.Std()
-	if known == nil || known.Life != r.Server.Life {
+	if known == nil || known.Incarnation != r.Server.Incarnation {
 		// An entry with a start time that follows entries without one comes from a restarted server.
 		known = &server{}
 		s.servers[r.Key] = known
