--- a/instance/doc.go
+++ b/instance/doc.go
@@ -1,3 +1,6 @@
-// Package instance keeps the entry instances that one instance knows, merges what
-// peers say with the platform's lagging list, and ranks instances for look-ups.
+// Package instance tracks the entry instances that one instance knows and ranks them for look-ups.
+//
+// A Table merges heartbeats, received directly or by gossip, with the platform's list, which lags,
+// and suspects members whose heartbeats stop. A Directory ranks the live instances for a client's
+// block by rendezvous hash, so that the loss of an instance affects only its own blocks.
 package instance
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -12,9 +12,9 @@
 
 var testStart = time.Unix(1000, 0)
 
-func member(name, domain string, life, heartbeat int64) Member {
+func member(name, domain string, incarnation, heartbeat int64) Member {
 	return Member{
-		EntryInstance: lovageyard.EntryInstance{Name: name, FailureDomain: domain, Region: domain[:1], Incarnation: life, State: lovageyard.StateLive},
+		EntryInstance: lovageyard.EntryInstance{Name: name, FailureDomain: domain, Region: domain[:1], Incarnation: incarnation, State: lovageyard.StateLive},
 		Heartbeat:     heartbeat,
 	}
 }
@@ -27,13 +27,13 @@
 	return list
 }
 
-func TestTableJudges(t *testing.T) {
+func TestTableTracksLiveness(t *testing.T) {
 	leaving := func(m Member) Member {
 		m.State = lovageyard.StateLeaving
 		return m
 	}
-	listed := func(state lovageyard.InstanceState, life int64) []lovageyard.EntryInstance {
-		i := member("peer", "a1", life, 0).EntryInstance
+	listed := func(state lovageyard.InstanceState, incarnation int64) []lovageyard.EntryInstance {
+		i := member("peer", "a1", incarnation, 0).EntryInstance
 		i.State = state
 		return []lovageyard.EntryInstance{i}
 	}
@@ -44,19 +44,19 @@
 		live  bool
 	}{
 		{"only listed", func(x *Table) { x.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, time.Second, true},
-		{"listed, never heard", func(x *Table) { x.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, SuspectTimeout, false},
-		{"heard", func(x *Table) { x.Observe(member("peer", "a1", 1, 1), testStart) }, time.Second, true},
+		{"listed, no heartbeat", func(x *Table) { x.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, SuspectTimeout, false},
+		{"observed", func(x *Table) { x.Observe(member("peer", "a1", 1, 1), testStart) }, time.Second, true},
 		{"silent although listed", func(x *Table) {
 			x.Observe(member("peer", "a1", 1, 1), testStart)
 			x.ApplyList(listed(lovageyard.StateLive, 1), testStart)
 		}, SuspectTimeout, false},
-		{"silent elsewhere", func(x *Table) { x.Observe(member("peer", "b1", 1, 1), testStart) }, SuspectTimeout, true},
-		{"long silent elsewhere", func(x *Table) { x.Observe(member("peer", "b1", 1, 1), testStart) }, 2 * RemoteSuspectTimeout, false},
+		{"silent in another domain", func(x *Table) { x.Observe(member("peer", "b1", 1, 1), testStart) }, SuspectTimeout, true},
+		{"silent for long in another domain", func(x *Table) { x.Observe(member("peer", "b1", 1, 1), testStart) }, 2 * RemoteSuspectTimeout, false},
 		{"absent from the list", func(x *Table) {
 			x.Observe(member("peer", "a1", 1, 1), testStart)
 			x.ApplyList(nil, testStart)
 		}, time.Second, true},
-		{"says that it leaves", func(x *Table) {
+		{"reports that it is leaving", func(x *Table) {
 			x.Observe(member("peer", "a1", 1, 1), testStart)
 			x.Observe(leaving(member("peer", "a1", 1, 2)), testStart)
 		}, 0, false},
@@ -64,19 +64,19 @@
 			x.Observe(member("peer", "a1", 1, 1), testStart)
 			x.ApplyList(listed(lovageyard.StateLeaving, 1), testStart)
 		}, 0, false},
-		{"an earlier life listed as leaving", func(x *Table) {
+		{"earlier incarnation listed as leaving", func(x *Table) {
 			x.Observe(member("peer", "a1", 2, 1), testStart)
 			x.ApplyList(listed(lovageyard.StateLeaving, 1), testStart)
 		}, 0, true},
-		{"new life after leaving", func(x *Table) {
+		{"new incarnation after leaving", func(x *Table) {
 			x.Observe(leaving(member("peer", "a1", 1, 9)), testStart)
 			x.Observe(member("peer", "a1", 2, 1), testStart)
 		}, 0, true},
-		{"word of an old life", func(x *Table) {
+		{"report of an old incarnation", func(x *Table) {
 			x.Observe(member("peer", "a1", 2, 1), testStart)
 			x.Observe(leaving(member("peer", "a1", 1, 9)), testStart)
 		}, 0, true},
-		{"an old heartbeat repeated", func(x *Table) {
+		{"older heartbeat", func(x *Table) {
 			x.Observe(member("peer", "a1", 1, 5), testStart)
 			x.Observe(member("peer", "a1", 1, 4), testStart.Add(3*time.Second))
 		}, SuspectTimeout, false},
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestTableForgets(t *testing.T) {
+func TestTableRemovesSilentMembers(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(member("self", "a1", 1, 0), testStart)
 	table.Observe(member("peer", "a1", 1, 1), testStart)
@@ -105,7 +105,7 @@
 	c.Assert(table.entries, qt.HasLen, 1)
 }
 
-func fleet(domains, perDomain int) []lovageyard.EntryInstance {
+func newInstances(domains, perDomain int) []lovageyard.EntryInstance {
 	var list []lovageyard.EntryInstance
 	for d := range domains {
 		for n := range perDomain {
@@ -119,7 +119,7 @@
 
 func TestRank(t *testing.T) {
 	c := qt.New(t)
-	d := NewDirectory(fleet(6, 2))
+	d := NewDirectory(newInstances(6, 2))
 	firsts := make(map[string]int)
 	for block := range uint64(1000) {
 		r := d.Rank("domain-01", block*7919)
@@ -146,7 +146,7 @@
 // TestRankMovesFewBlocks checks that the loss of an instance moves only its own blocks.
 func TestRankMovesFewBlocks(t *testing.T) {
 	c := qt.New(t)
-	all := fleet(1, 8)
+	all := newInstances(1, 8)
 	before := NewDirectory(all)
 	after := NewDirectory(all[1:])
 	for block := range uint64(1000) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// A relay with a narrow link hears of a large change a second later than one with a wide link.
+// A relay with a narrow link receives a large change a second later than one with a wide link.
 func TestRelaysAreThoseWithTheWidestLinks(t *testing.T) {
 	c := qt.New(t)
 	var live []lovageyard.EntryInstance
@@ -169,7 +169,7 @@
 	for _, name := range ChooseRelays(live, "north-1") {
 		c.Assert(wide, qt.Contains, name)
 	}
-	// With one wide instance left, a narrow one stands in for the second relay.
+	// With only one wide link left, the second relay has a narrow one.
 	relays := ChooseRelays(live[:4], "north-1")
 	c.Assert(relays, qt.HasLen, RelaysPerDomain)
 	c.Assert(relays[0], qt.Equals, "entry-2")
@@ -177,7 +177,7 @@
 
 func TestChooseRelays(t *testing.T) {
 	c := qt.New(t)
-	all := fleet(2, 5)
+	all := newInstances(2, 5)
 	relays := ChooseRelays(all, "domain-00")
 	c.Assert(relays, qt.HasLen, RelaysPerDomain)
 	var rest []lovageyard.EntryInstance
@@ -190,17 +190,17 @@
 	c.Assert(ChooseRelays(nil, "domain-00"), qt.HasLen, 0)
 }
 
-// TestGossipComesRound checks that news goes first and that all members come round.
-func TestGossipComesRound(t *testing.T) {
+// TestGossipRotatesThroughAllMembers checks that recent changes come first and that all members are sent in turn.
+func TestGossipRotatesThroughAllMembers(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(member("self", "domain-00", 1, 0), testStart)
-	all := fleet(6, 10)
+	all := newInstances(6, 10)
 	for _, i := range all {
 		table.Observe(Member{EntryInstance: i, Heartbeat: 1, Steps: []Step{{Class: "class"}}}, testStart)
 	}
 	const count = 12
 	seen := make(map[string]bool)
-	later := testStart.Add(newsFor)
+	later := testStart.Add(recentPeriod)
 	for range 20 {
 		part := table.Gossip(count, later)
 		c.Assert(len(part) <= count, qt.IsTrue)
@@ -210,25 +210,25 @@
 		}
 	}
 	c.Assert(seen, qt.HasLen, len(all)+1)
-	news := Member{EntryInstance: all[59], Heartbeat: 2}
-	news.State = lovageyard.StateLeaving
-	table.Observe(news, later)
+	leaving := Member{EntryInstance: all[59], Heartbeat: 2}
+	leaving.State = lovageyard.StateLeaving
+	table.Observe(leaving, later)
 	c.Assert(table.Gossip(count, later)[0].Name, qt.Equals, all[59].Name)
 }
 
-// Word of a member travels through others: silence counts from when the member spoke, so
-// that late word does not bring a member back that has long been dead.
-func TestSilenceCountsFromWhenTheMemberSpoke(t *testing.T) {
+// Heartbeats may arrive late by gossip. The suspect timeout counts from when the member sent its
+// heartbeat, so that a late one does not make a crashed member live again.
+func TestSuspectTimeoutStartsAtTheMembersHeartbeat(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
-	const patience = 4 * time.Second
+	const timeout = 4 * time.Second
 	table := NewTable(member("self", "north-1", 1, 1), start)
-	table.SetSuspectTimeout(patience)
+	table.SetSuspectTimeout(timeout)
 	dead := member("dead", "north-1", 1, 1)
 	table.Observe(dead, start)
 	c.Assert(table.Live(), qt.HasLen, 2)
 
-	// Its last heartbeat comes by a long way.
+	// Its last heartbeat arrives late.
 	dead.Heartbeat++
 	dead.Age = 3 * time.Second
 	now := start.Add(3 * time.Second)
@@ -237,7 +237,7 @@
 	c.Assert(table.Tick(now.Add(time.Second)), qt.IsTrue)
 	c.Assert(table.Live(), qt.HasLen, 1)
 
-	// One that is too old when it comes does not bring the member back.
+	// One that is older than the timeout when it arrives does not make the member live.
 	dead.Heartbeat++
 	dead.Age = 5 * time.Second
 	now = now.Add(2 * time.Second)
@@ -247,7 +247,7 @@
 	// It is not passed on either.
 	c.Assert(table.GossipForRegion("north", 10, now), qt.HasLen, 0)
 
-	// What is young enough is passed on with its age.
+	// A recent one is passed on with its age.
 	dead.Heartbeat++
 	dead.Age = time.Second
 	table.Observe(dead, now)
@@ -257,8 +257,8 @@
 	c.Assert(passed[0].Age, qt.Equals, 2*time.Second)
 }
 
-// Look-ups name the instances of the own region, so that word of these goes first.
-func TestGossipPutsOneRegionFirst(t *testing.T) {
+// Look-ups return instances of the own region, so their heartbeats have priority.
+func TestGossipPrefersOneRegion(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	table := NewTable(member("self", "north-1", 1, 1), start)
--- a/instance/rank.go
+++ b/instance/rank.go
@@ -11,18 +11,18 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Sizes of a look-up's answer.
+// Numbers of instances in the answer to a look-up.
 const (
-	ownRanks   = 2
+	homeRanks  = 2
 	otherRanks = 2
-	// MaxRanks is the largest number of instances in an answer.
-	MaxRanks = ownRanks + otherRanks
+	// MaxRanks is the maximum number of instances in an answer.
+	MaxRanks = homeRanks + otherRanks
 )
 
-// RelaysPerDomain is the number of instances of a failure domain that read the platform for the rest.
+// RelaysPerDomain is the number of instances of a failure domain that read the platform on behalf of the others.
 const RelaysPerDomain = 2
 
-// Directory ranks entry instances for look-ups; it is immutable.
+// Directory ranks entry instances for look-ups. It is immutable and safe for concurrent use.
 type Directory struct {
 	domains []domain
 	all     []int
@@ -36,13 +36,13 @@
 	positions []int
 }
 
-// Ranking is the answer to one look-up: positions in the directory, best first.
+// Ranking is the result of one look-up: the first Count elements are positions in the directory, best first.
 type Ranking struct {
 	Positions [MaxRanks]int
 	Count     int
 }
 
-// NewDirectory returns the directory of the live instances.
+// NewDirectory returns a directory of the given instances; positions refer to their order.
 func NewDirectory(live []lovageyard.EntryInstance) *Directory {
 	d := &Directory{}
 	for i, m := range live {
@@ -67,37 +67,38 @@
 	d.domains = append(d.domains, domain{name: m.FailureDomain, region: m.Region, positions: []int{position}})
 }
 
-// Instance returns the instance at a position.
+// Instance returns the instance at a position, which must be below Len.
 func (d *Directory) Instance(position int) *lovageyard.EntryInstance {
 	return &d.members[position]
 }
 
-// Len returns the number of instances.
+// Len returns the number of instances in the directory.
 func (d *Directory) Len() int {
 	return len(d.members)
 }
 
-// Rank returns the instances for a block of a home failure domain: first those of the
-// home, then one each of other failure domains, those of the same region first.
-// It allocates nothing.
+// Rank returns the instances for a block: first those of its home failure domain, then one each of
+// other failure domains, those of the same region first. If the home is unknown, it ranks all
+// instances. It does not allocate.
 func (d *Directory) Rank(home string, block uint64) Ranking {
 	var r Ranking
 	index, found := slices.BinarySearchFunc(d.domains, home, func(a domain, name string) int {
 		return strings.Compare(a.name, name)
 	})
 	if !found {
-		d.best(&r, d.all, block, MaxRanks)
+		d.addBest(&r, d.all, block, MaxRanks)
 		return r
 	}
 	own := &d.domains[index]
-	d.best(&r, own.positions, block, ownRanks)
-	d.others(&r, index, own.region, block, true)
-	d.others(&r, index, own.region, block, false)
+	d.addBest(&r, own.positions, block, homeRanks)
+	d.addOtherDomains(&r, index, own.region, block, true)
+	d.addOtherDomains(&r, index, own.region, block, false)
 	return r
 }
 
-// others adds the best instance of each further failure domain, inside or outside a region.
-func (d *Directory) others(r *Ranking, own int, region string, block uint64, inside bool) {
+// addOtherDomains adds the best instance of each other failure domain inside or outside a region,
+// starting at a domain that depends on the block, until the ranking is full.
+func (d *Directory) addOtherDomains(r *Ranking, own int, region string, block uint64, inside bool) {
 	start := int(block % uint64(len(d.domains)))
 	for i := range d.domains {
 		if r.Count >= MaxRanks {
@@ -107,17 +108,17 @@
 		if index == own || (d.domains[index].region == region) != inside {
 			continue
 		}
-		d.best(r, d.domains[index].positions, block, r.Count+1)
+		d.addBest(r, d.domains[index].positions, block, r.Count+1)
 	}
 }
 
-// best adds the highest-scoring positions until the ranking holds the given count.
-func (d *Directory) best(r *Ranking, positions []int, block uint64, count int) {
+// addBest adds the positions with the highest scores until the ranking has the given count.
+func (d *Directory) addBest(r *Ranking, positions []int, block uint64, count int) {
 	for r.Count < count {
 		chosen := -1
 		score := uint64(0)
 		for _, p := range positions {
-			if s := MixHash(block ^ d.hashes[p]); (chosen < 0 || s > score) && !r.holds(p) {
+			if s := MixHash(block ^ d.hashes[p]); (chosen < 0 || s > score) && !r.contains(p) {
 				chosen = p
 				score = s
 			}
@@ -130,7 +131,7 @@
 	}
 }
 
-func (r *Ranking) holds(position int) bool {
+func (r *Ranking) contains(position int) bool {
 	for i := range r.Count {
 		if r.Positions[i] == position {
 			return true
@@ -139,7 +140,8 @@
 	return false
 }
 
-// MixHash spreads the bits of a hash, so that scores of one block are independent of each other.
+// MixHash spreads the bits of a hash (the finalizer of MurmurHash3), so that the scores of one
+// block are independent of each other.
 func MixHash(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -148,9 +150,9 @@
 	return x ^ x>>33
 }
 
-// ChooseRelays returns the names of the members of a failure domain that read the platform:
-// those with the widest links, the highest rendezvous hash first, as a relay hears each change in
-// full from the platform.
+// ChooseRelays returns the names of up to RelaysPerDomain members of a failure domain that read the
+// platform. Those with the widest links come first, as a relay receives each change in full; among
+// equal links the rendezvous hash decides.
 func ChooseRelays(live []lovageyard.EntryInstance, failureDomain string) []string {
 	byLink := make(map[float64][]string)
 	for _, i := range live {
@@ -165,7 +167,7 @@
 	return relays
 }
 
-// Rendezvous returns the names that score highest for a key by rendezvous hash, best first.
+// Rendezvous returns up to count names with the highest rendezvous hash for a key, best first.
 func Rendezvous(names []string, key string, count int) []string {
 	salt := xxhash.Sum64String(key)
 	score := func(name string) uint64 { return MixHash(salt ^ xxhash.Sum64String(name)) }
@@ -176,7 +178,8 @@
 	return chosen[:min(count, len(chosen))]
 }
 
-// RendezvousRank returns how many names come before one of them in the order of Choose, or -1 if it is not among them.
+// RendezvousRank returns the position of self among the names in the order of Rendezvous, from 0,
+// or -1 if it is not one of them.
 func RendezvousRank(names []string, key, self string) int {
 	salt := xxhash.Sum64String(key)
 	own := MixHash(salt ^ xxhash.Sum64String(self))
--- a/instance/state.go
+++ b/instance/state.go
@@ -8,46 +8,46 @@
 	"lovageyard.example/lovageyard"
 )
 
-// The states of an entry instance as another one judges it.
+// The liveness states of an entry instance as observed by this one.
 const (
 	stateListed  = "listed"
 	stateLive    = "live"
 	stateSuspect = "suspect"
 	stateLeaving = "leaving"
-	stateGone    = "gone"
+	stateRemoved = "gone"
 )
 
-// The events that change the judgement.
+// The events that change the liveness state.
 const (
-	eventHeard   = "heard"
-	eventSilent  = "silent"
-	eventLeaving = "leaving"
-	eventExpired = "expired"
-	eventNewLife = "new-life"
+	eventObserved       = "heard"
+	eventTimeout        = "silent"
+	eventLeaving        = "leaving"
+	eventExpired        = "expired"
+	eventNewIncarnation = "new-life"
 )
 
 func newMachine() *fsm.FSM {
 	return fsm.NewFSM(stateListed, fsm.Events{
-		{Name: eventHeard, Src: []string{stateListed, stateLive, stateSuspect}, Dst: stateLive},
-		{Name: eventSilent, Src: []string{stateListed, stateLive}, Dst: stateSuspect},
+		{Name: eventObserved, Src: []string{stateListed, stateLive, stateSuspect}, Dst: stateLive},
+		{Name: eventTimeout, Src: []string{stateListed, stateLive}, Dst: stateSuspect},
 		{Name: eventLeaving, Src: []string{stateListed, stateLive, stateSuspect}, Dst: stateLeaving},
-		{Name: eventExpired, Src: []string{stateSuspect, stateLeaving}, Dst: stateGone},
-		{Name: eventNewLife, Src: []string{stateListed, stateLive, stateSuspect, stateLeaving, stateGone}, Dst: stateLive},
+		{Name: eventExpired, Src: []string{stateSuspect, stateLeaving}, Dst: stateRemoved},
+		{Name: eventNewIncarnation, Src: []string{stateListed, stateLive, stateSuspect, stateLeaving, stateRemoved}, Dst: stateLive},
 	}, fsm.Callbacks{})
 }
 
-// fire applies an event; one that the state does not know changes nothing.
+// fire applies an event; it does nothing if the current state has no transition for it.
 func fire(m *fsm.FSM, event string) {
 	if m.Can(event) {
 		_ = m.Event(context.Background(), event)
 	}
 }
 
-func takesWork(state string) bool {
+func acceptsWork(state string) bool {
 	return state == stateListed || state == stateLive
 }
 
-func reported(state string) lovageyard.InstanceState {
+func externalState(state string) lovageyard.InstanceState {
 	switch state {
 	case stateListed, stateLive:
 		return lovageyard.StateLive
--- a/instance/table.go
+++ b/instance/table.go
@@ -10,73 +10,75 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Limits of silence after which an instance is judged anew.
+// Timeouts for members whose heartbeats stop.
 const (
-	// SuspectTimeout is the silence after which an instance of the own failure domain leaves look-ups.
+	// SuspectTimeout is the time without a heartbeat after which an instance of the same failure
+	// domain is suspect and left out of look-ups.
 	SuspectTimeout = 5 * time.Second
-	// RemoteSuspectTimeout is the least silence for other failure domains, whose word comes through others.
+	// RemoteSuspectTimeout is the minimum of that time for instances of other failure domains, whose
+	// heartbeats arrive by gossip.
 	RemoteSuspectTimeout = 15 * time.Second
-	// remoteSuspectPerMember is added for each known instance, as word of it comes round less often.
-	remoteSuspectPerMember = 200 * time.Millisecond
-	// ForgetTimeout is the further silence after which an instance is gone.
+	// remoteSuspectTimeoutPerMember is added for each known instance, as gossip of each one becomes rarer.
+	remoteSuspectTimeoutPerMember = 200 * time.Millisecond
+	// ForgetTimeout is the time after the suspect timeout at which an instance is removed.
 	ForgetTimeout = time.Minute
 )
 
-// Member is what an entry instance says of itself.
+// Member is an entry instance's description of itself.
 type Member struct {
 	lovageyard.EntryInstance
-	// Heartbeat grows with each exchange within one life.
+	// Heartbeat is a counter that grows within one incarnation.
 	Heartbeat int64
-	// Version is the configuration version in force there.
+	// Version is the configuration version in force at the member.
 	Version int64
-	// Steps are the plan steps in force there.
+	// Steps holds the member's progress, by class.
 	Steps []Step
-	// Age is how old this word was when it came; word that came through others has an age.
+	// Age is how old the description was when it was received; it is 0 for direct messages.
 	Age time.Duration
 }
 
-// Step tells how far an instance is with the plan of one class.
+// Step is an instance's progress with the plan of one class.
 type Step struct {
 	Class string
-	// Started is the plan step that the instance moves to.
+	// Started is the newest plan step that the instance has started to apply.
 	Started int64
-	// Completed is the plan step that the instance applies in full.
+	// Completed is the newest plan step that the instance has applied in full.
 	Completed int64
-	// Remaining is the share of the instance's work that still has to move.
+	// Remaining is the share, 0 to 1, of the instance's demand that still has to move.
 	Remaining float64
 }
 
 type entry struct {
 	member  Member
 	machine *fsm.FSM
-	// changed is when the member last spoke, or when it was first listed.
-	changed time.Time
-	// news is when the judgement or the description changed last.
-	news   time.Time
-	heard  bool
-	listed bool
+	// lastSeen is when the member sent its last heartbeat, or when it was first listed.
+	lastSeen time.Time
+	// changedAt is when the liveness state or the description last changed.
+	changedAt time.Time
+	observed  bool
+	listed    bool
 }
 
-// Table holds the known entry instances; its owner calls it from one goroutine.
+// Table holds the known entry instances. It is not safe for concurrent use.
 type Table struct {
 	self    string
 	domain  string
 	entries map[string]*entry
-	// live and relays are worked out anew after a change of judgement.
-	live   []lovageyard.EntryInstance
-	relays map[string][]string
-	turn   int
-	// silence is the patience with every member, if set; see SetPatience.
-	silence time.Duration
+	// live and relays are caches; they are recomputed after a change of a liveness state.
+	live     []lovageyard.EntryInstance
+	relays   map[string][]string
+	rotation int
+	// fixedTimeout is the suspect timeout of every member if it is above 0; see SetSuspectTimeout.
+	fixedTimeout time.Duration
 }
 
-// SetSuspectTimeout sets one patience for all members, wherever they are: for fleets whose
-// members exchange directly with random others, so that word is never long on its way.
-func (t *Table) SetSuspectTimeout(silence time.Duration) {
-	t.silence = silence
+// SetSuspectTimeout sets the same suspect timeout for all members, whatever their failure domain. It
+// is for fleets whose members gossip with random peers of all domains, so that heartbeats spread quickly.
+func (t *Table) SetSuspectTimeout(timeout time.Duration) {
+	t.fixedTimeout = timeout
 }
 
-// NewTable returns the table of an instance that knows only itself.
+// NewTable returns a table that contains only the instance itself.
 func NewTable(self Member, now time.Time) *Table {
 	t := &Table{
 		self:    self.Name,
@@ -87,69 +89,69 @@
 	return t
 }
 
-// Observe takes in what a member says of itself, at first or second hand, and says
-// whether it was news. An older life or an older heartbeat is ignored.
+// Observe applies a member's description, received directly or by gossip, and reports whether it
+// was new. A description with an older incarnation or heartbeat is ignored.
 func (t *Table) Observe(m Member, now time.Time) bool {
 	e := t.entries[m.Name]
 	if e == nil {
-		e = &entry{machine: newMachine(), changed: now}
+		e = &entry{machine: newMachine(), lastSeen: now}
 		t.entries[m.Name] = e
 	}
-	if e.heard && !newer(m, e.member) {
+	if e.observed && !isNewer(m, e.member) {
 		return false
 	}
-	if e.heard && m.Incarnation > e.member.Incarnation {
-		fire(e.machine, eventNewLife)
+	if e.observed && m.Incarnation > e.member.Incarnation {
+		fire(e.machine, eventNewIncarnation)
 	}
 	before := e.machine.Current()
 	described := e.member.EntryInstance
-	if spoke := now.Add(-m.Age); !e.heard || spoke.After(e.changed) {
-		e.changed = spoke
+	if sent := now.Add(-m.Age); !e.observed || sent.After(e.lastSeen) {
+		e.lastSeen = sent
 	}
 	e.member = m
-	e.heard = true
+	e.observed = true
 	switch {
 	case m.State != lovageyard.StateLive:
 		fire(e.machine, eventLeaving)
-	case now.Sub(e.changed) < t.patience(e):
-		fire(e.machine, eventHeard)
+	case now.Sub(e.lastSeen) < t.suspectTimeout(e):
+		fire(e.machine, eventObserved)
 	}
 	if described != m.EntryInstance || before != e.machine.Current() {
-		t.note(e, now)
+		t.invalidate(e, now)
 	}
 	return true
 }
 
-// note drops what was worked out from the judgements.
-func (t *Table) note(e *entry, now time.Time) {
-	e.news = now
+// invalidate records a change of a member and drops the cached lists.
+func (t *Table) invalidate(e *entry, now time.Time) {
+	e.changedAt = now
 	t.live = nil
 	t.relays = nil
 }
 
-func newer(m, known Member) bool {
+func isNewer(m, known Member) bool {
 	if m.Incarnation != known.Incarnation {
 		return m.Incarnation > known.Incarnation
 	}
 	return m.Heartbeat > known.Heartbeat
 }
 
-// ApplyList takes in the platform's list. It introduces instances and marks those that
-// leave; it never overrules what an instance said itself, and absence removes nothing.
+// ApplyList applies the platform's list. It adds unknown instances and marks those that are
+// leaving. It never overrides an instance's own description, and removes no instance that it lacks.
 func (t *Table) ApplyList(instances []lovageyard.EntryInstance, now time.Time) {
 	for _, listed := range instances {
 		e := t.entries[listed.Name]
 		if e == nil {
-			e = &entry{machine: newMachine(), changed: now}
+			e = &entry{machine: newMachine(), lastSeen: now}
 			t.entries[listed.Name] = e
-			t.note(e, now)
+			t.invalidate(e, now)
 		}
 		before := e.machine.Current()
-		if !e.heard && e.member.EntryInstance != listed {
+		if !e.observed && e.member.EntryInstance != listed {
 			e.member.EntryInstance = listed
-			t.note(e, now)
+			t.invalidate(e, now)
 			if !e.listed {
-				e.changed = now
+				e.lastSeen = now
 			}
 		}
 		e.listed = true
@@ -157,12 +159,12 @@
 			fire(e.machine, eventLeaving)
 		}
 		if before != e.machine.Current() {
-			t.note(e, now)
+			t.invalidate(e, now)
 		}
 	}
 }
 
-// Tick judges the silence of all members and says whether any judgement changed.
+// Tick applies the timeouts to all members and reports whether the liveness state of any changed.
 func (t *Table) Tick(now time.Time) bool {
 	changed := false
 	for name, e := range t.entries {
@@ -170,41 +172,41 @@
 			continue
 		}
 		before := e.machine.Current()
-		silence := now.Sub(e.changed)
-		if silence >= t.patience(e) {
-			fire(e.machine, eventSilent)
+		elapsed := now.Sub(e.lastSeen)
+		if elapsed >= t.suspectTimeout(e) {
+			fire(e.machine, eventTimeout)
 		}
-		if silence >= t.patience(e)+ForgetTimeout {
+		if elapsed >= t.suspectTimeout(e)+ForgetTimeout {
 			fire(e.machine, eventExpired)
 		}
-		if e.machine.Current() == stateGone && silence >= t.patience(e)+2*ForgetTimeout {
+		if e.machine.Current() == stateRemoved && elapsed >= t.suspectTimeout(e)+2*ForgetTimeout {
 			delete(t.entries, name)
 		}
 		if before != e.machine.Current() {
-			t.note(e, now)
+			t.invalidate(e, now)
 			changed = true
 		}
 	}
 	return changed
 }
 
-func (t *Table) patience(e *entry) time.Duration {
-	if t.silence > 0 {
-		return t.silence
+func (t *Table) suspectTimeout(e *entry) time.Duration {
+	if t.fixedTimeout > 0 {
+		return t.fixedTimeout
 	}
 	if e.member.FailureDomain == t.domain {
 		return SuspectTimeout
 	}
-	return RemoteSuspectTimeout + time.Duration(len(t.entries))*remoteSuspectPerMember
+	return RemoteSuspectTimeout + time.Duration(len(t.entries))*remoteSuspectTimeoutPerMember
 }
 
-// Members returns the members that are not gone, in the order of their names, with
-// the states that this instance judges them to be in.
+// Members returns the members that are not removed, ordered by name, with the states in which this
+// instance sees them.
 func (t *Table) Members() []Member {
 	var members []Member
 	for _, e := range t.entries {
 		m := e.member
-		m.State = reported(e.machine.Current())
+		m.State = externalState(e.machine.Current())
 		if m.State != lovageyard.StateGone {
 			members = append(members, m)
 		}
@@ -213,11 +215,12 @@
 	return members
 }
 
-// Observed returns the members that have spoken and are not gone, as they described themselves.
+// Observed returns the members that are not removed and of which a heartbeat was received, ordered
+// by name, as they described themselves.
 func (t *Table) Observed() []Member {
 	var members []Member
 	for _, e := range t.entries {
-		if e.heard && e.machine.Current() != stateGone {
+		if e.observed && e.machine.Current() != stateRemoved {
 			members = append(members, e.member)
 		}
 	}
@@ -225,14 +228,13 @@
 	return members
 }
 
-// Live returns the instances that take new work, in the order of their names; callers
-// do not change the list.
+// Live returns the instances that accept new requests, ordered by name. The caller must not change the list.
 func (t *Table) Live() []lovageyard.EntryInstance {
 	if t.live != nil {
 		return t.live
 	}
 	for _, e := range t.entries {
-		if takesWork(e.machine.Current()) {
+		if acceptsWork(e.machine.Current()) {
 			t.live = append(t.live, e.member.EntryInstance)
 		}
 	}
@@ -242,7 +244,8 @@
 	return t.live
 }
 
-// Relays returns the names of the relays of a failure domain.
+// Relays returns the names of the relays of a failure domain, as ChooseRelays selects them from
+// the live instances.
 func (t *Table) Relays(failureDomain string) []string {
 	if t.relays == nil {
 		t.relays = make(map[string][]string)
@@ -255,7 +258,7 @@
 	return known
 }
 
-// Find returns the member of a name, and whether it is known.
+// Find returns the member with a name, and whether it is known; it may be suspect or removed.
 func (t *Table) Find(name string) (Member, bool) {
 	e := t.entries[name]
 	if e == nil {
@@ -264,66 +267,66 @@
 	return e.member, true
 }
 
-// newsFor is how long news goes ahead of other members in Gossip.
-const newsFor = 30 * time.Second
+// recentPeriod is how long a member that changed has priority in gossip.
+const recentPeriod = 30 * time.Second
 
-// Gossip returns up to a number of members to tell a peer of: a quarter of it for news,
-// the rest by turns, half for the own failure domain and half for others. The steps of
-// other failure domains' members are left out, as only neighbours need them.
+// Gossip returns up to count members to send to a peer. A quarter is for members that changed
+// recently; the rest rotates through all members, half of it for the own failure domain. The steps
+// of members of other failure domains are left out, as only neighbours need them.
 func (t *Table) Gossip(count int, now time.Time) []Member {
 	isFirst := func(m Member) bool { return m.FailureDomain == t.domain }
-	return t.trim(t.choose(t.Observed(), count, now, isFirst, 0.5))
+	return t.dropRemoteSteps(t.selectMembers(t.Observed(), count, now, isFirst, 0.5))
 }
 
-// regionShare is the part of GossipOf's turns that is for members of the region.
+// regionShare is the part of GossipForRegion's rotation that is for members of the region.
 const regionShare = 0.75
 
-// GossipForRegion returns up to a number of members to tell a peer of: a quarter of it for news, the
-// rest by turns, most of that for members of one region. Members that have been silent for
-// too long are left out.
+// GossipForRegion returns up to count members to send to a peer. A quarter is for members that
+// changed recently; the rest rotates through all members, most of it for one region. Members whose
+// suspect timeout has passed are left out.
 func (t *Table) GossipForRegion(region string, count int, now time.Time) []Member {
-	heard := slices.DeleteFunc(t.Observed(), func(m Member) bool {
+	observed := slices.DeleteFunc(t.Observed(), func(m Member) bool {
 		e := t.entries[m.Name]
-		return now.Sub(e.changed) >= t.patience(e)
+		return now.Sub(e.lastSeen) >= t.suspectTimeout(e)
 	})
 	isFirst := func(m Member) bool { return m.Region == region }
-	chosen := t.choose(heard, count, now, isFirst, regionShare)
+	chosen := t.selectMembers(observed, count, now, isFirst, regionShare)
 	for i := range chosen {
-		chosen[i].Age = now.Sub(t.entries[chosen[i].Name].changed)
+		chosen[i].Age = now.Sub(t.entries[chosen[i].Name].lastSeen)
 	}
-	return t.trim(chosen)
+	return t.dropRemoteSteps(chosen)
 }
 
-// choose returns up to a number of members: a quarter of it for news, and of the rest a
-// share by turns for the members that go first.
-func (t *Table) choose(members []Member, count int, now time.Time, isFirst func(Member) bool, share float64) []Member {
+// selectMembers returns up to count members: a quarter of them recently changed, and of the rest the
+// given share from the rotation of the members for which isFirst returns true.
+func (t *Table) selectMembers(members []Member, count int, now time.Time, isFirst func(Member) bool, share float64) []Member {
 	if len(members) <= count {
 		return members
 	}
-	t.turn++
-	var chosen []Member
+	t.rotation++
+	var selected []Member
 	for _, m := range members {
-		if len(chosen) < count/4 && now.Sub(t.entries[m.Name].news) < newsFor {
-			chosen = append(chosen, m)
+		if len(selected) < count/4 && now.Sub(t.entries[m.Name].changedAt) < recentPeriod {
+			selected = append(selected, m)
 		}
 	}
 	first := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !isFirst(m) })
 	others := slices.DeleteFunc(members, isFirst)
-	forFirst := int(share * float64(count-len(chosen)))
-	chosen = append(chosen, window(first, t.turn, min(forFirst, len(first)))...)
-	return append(chosen, window(others, t.turn, min(count-len(chosen), len(others)))...)
+	forFirst := int(share * float64(count-len(selected)))
+	selected = append(selected, rotatingWindow(first, t.rotation, min(forFirst, len(first)))...)
+	return append(selected, rotatingWindow(others, t.rotation, min(count-len(selected), len(others)))...)
 }
 
-// window returns the part of a list whose turn it is.
-func window(list []Member, turn, count int) []Member {
+// rotatingWindow returns count elements of a list; successive rotations cover the whole list.
+func rotatingWindow(list []Member, rotation, count int) []Member {
 	var part []Member
 	for i := range count {
-		part = append(part, list[(turn*count+i)%len(list)])
+		part = append(part, list[(rotation*count+i)%len(list)])
 	}
 	return part
 }
 
-func (t *Table) trim(members []Member) []Member {
+func (t *Table) dropRemoteSteps(members []Member) []Member {
 	for i := range members {
 		if members[i].FailureDomain != t.domain {
 			members[i].Steps = nil
@@ -332,12 +335,13 @@
 	return members
 }
 
-// Neighbours returns the other instances of the own failure domain that may still serve callers.
+// Neighbours returns the other instances of the own failure domain that may still serve requests,
+// those that are leaving included, ordered by name.
 func (t *Table) Neighbours() []Member {
 	var members []Member
 	for name, e := range t.entries {
 		state := e.machine.Current()
-		if name != t.self && e.member.FailureDomain == t.domain && (takesWork(state) || state == stateLeaving) {
+		if name != t.self && e.member.FailureDomain == t.domain && (acceptsWork(state) || state == stateLeaving) {
 			members = append(members, e.member)
 		}
 	}
