--- a/placement/conclude.go
+++ b/placement/conclude.go
@@ -9,18 +9,18 @@
 	"lovageyard.example/lovageyard"
 )
 
-// conclude turns the desired placement into a plan and a state of the move.
-func (r *round) conclude() Output {
+// output returns the plan for the desired placement and the state of its move.
+func (r *round) output() Output {
 	switch {
 	case r.changes() > 0:
-		m := r.move()
-		return Output{Plan: r.plan(m), Changed: true, Reason: m.Reason}
+		m := r.describeMove()
+		return Output{Plan: r.nextPlan(m), Changed: true, Reason: m.Reason}
 	case r.in.Current.Step > r.in.AppliedStep:
-		return r.follow()
-	case r.held > 0:
-		return r.hold(r.holdReason())
+		return r.monitorMove()
+	case r.unplaceable > 0:
+		return r.holdMove(r.holdReason())
 	case r.in.Current.Move != nil:
-		return r.restate(nil, "the move is over")
+		return r.updateMove(nil, "the move is over")
 	}
 	return Output{Plan: r.in.Current, Reason: "nothing has to move"}
 }
@@ -37,22 +37,23 @@
 	return count
 }
 
-// follow watches a move under way: it is held while a site that gains work is over its limit.
-func (r *round) follow() Output {
+// monitorMove updates the state of a move under way: the move is suspended while a site that receives
+// work is over its limit.
+func (r *round) monitorMove() Output {
 	if site := r.overloaded(); site != "" {
-		return r.hold("site " + site + " is over its limit; it has to catch up before more work moves there")
+		return r.holdMove("site " + site + " is over its limit; it has to catch up before more work moves there")
 	}
 	if r.in.Current.Move == nil || r.in.Current.Move.State != lovageyard.MoveHeld {
 		return Output{Plan: r.in.Current, Reason: "the entry instances are moving the work"}
 	}
-	return r.restate(r.move(), "the move goes on")
+	return r.updateMove(r.describeMove(), "the move goes on")
 }
 
-// overloaded returns a site that gains work under way although it is over its limit, or "".
+// overloaded returns the name of a site over its limit that receives a moving bucket, or "".
 func (r *round) overloaded() string {
 	for i := range r.current {
 		for b, site := range r.current[i] {
-			if site != unplaced && r.inFlight(i, b) && r.room[site] < 0 && r.demandOf(i, b) > 0 {
+			if site != unplaced && r.isMoving(i, b) && r.available[site] < 0 && r.demandOf(i, b) > 0 {
 				return r.sites[site].Name
 			}
 		}
@@ -65,22 +66,22 @@
 }
 
 func (r *round) holdReason() string {
-	return fmt.Sprintf("%d buckets fit nowhere within headroom; add capacity, restore a site or lower the demand", r.held)
+	return fmt.Sprintf("%d buckets fit nowhere within headroom; add capacity, restore a site or lower the demand", r.unplaceable)
 }
 
-func (r *round) hold(reason string) Output {
+func (r *round) holdMove(reason string) Output {
 	before := r.in.Current.Move
 	if before != nil && before.State == lovageyard.MoveHeld && before.Reason == reason {
 		return Output{Plan: r.in.Current, Reason: reason}
 	}
-	m := r.move()
+	m := r.describeMove()
 	m.State = lovageyard.MoveHeld
 	m.Reason = reason
-	return r.restate(m, reason)
+	return r.updateMove(m, reason)
 }
 
-// restate publishes the current placement with another state of the move.
-func (r *round) restate(m *lovageyard.Move, reason string) Output {
+// updateMove returns the current placement with a new state of the move; nil means that the move is over.
+func (r *round) updateMove(m *lovageyard.Move, reason string) Output {
 	p := r.in.Current
 	p.Move = m
 	p.Epoch = r.in.Epoch
@@ -93,14 +94,14 @@
 	return Output{Plan: p, Changed: true, Reason: reason}
 }
 
-// move describes the shift that brings all work to its desired place.
-func (r *round) move() *lovageyard.Move {
+// describeMove returns the move from the current to the desired placement, with its expected end.
+func (r *round) describeMove() *lovageyard.Move {
 	m := &lovageyard.Move{
 		Class:     r.in.Class.Name,
 		State:     lovageyard.MoveShifting,
-		Remaining: max(r.openShare(), r.in.Remaining),
+		Remaining: max(r.remainingShare(), r.in.Remaining),
 		StartedAt: r.in.Now,
-		EmptyBy:   r.emptyBy(),
+		EmptyBy:   r.drainDeadline(),
 		Reason:    "work moves within the cap",
 	}
 	if r.in.Current.Move != nil {
@@ -108,17 +109,17 @@
 	}
 	steps := math.Ceil(m.Remaining/r.in.Class.Target.Cap - 1e-9)
 	m.EndsAt = r.in.Now.Add(time.Duration(steps) * r.in.Class.Target.Interval.Std())
-	m.InTime = m.EmptyBy.IsZero() || !m.EndsAt.After(m.EmptyBy) && r.held == 0
-	if r.held > 0 {
+	m.InTime = m.EmptyBy.IsZero() || !m.EndsAt.After(m.EmptyBy) && r.unplaceable == 0
+	if r.unplaceable > 0 {
 		m.Reason = r.holdReason()
 	}
-	if !m.InTime && r.held == 0 {
+	if !m.InTime && r.unplaceable == 0 {
 		m.Reason = r.lateReason(m)
 	}
 	return m
 }
 
-// lateReason says which cap would meet the bound.
+// lateReason explains that a move ends after its deadline, and which cap would meet the deadline.
 func (r *round) lateReason(m *lovageyard.Move) string {
 	intervals := math.Floor(float64(m.EmptyBy.Sub(r.in.Now)) / float64(r.in.Class.Target.Interval.Std()))
 	if intervals < 1 {
@@ -127,29 +128,30 @@
 	return fmt.Sprintf("the bound is too early for the cap; a cap of %.2f would meet it", m.Remaining/intervals)
 }
 
-// openShare returns the largest share of any home's demand that has to move.
-func (r *round) openShare() float64 {
+// remainingShare returns the share of a home's demand that has to move, the largest of all homes.
+func (r *round) remainingShare() float64 {
 	largest := 0.0
 	for i, h := range r.in.Homes {
-		total, open := 0.0, 0.0
+		total, moving := 0.0, 0.0
 		for b, demand := range h.Buckets {
 			total += demand
-			if r.desired[i][b] != r.from[i][b] {
-				open += demand
+			if r.desired[i][b] != r.previous[i][b] {
+				moving += demand
 			}
 		}
 		if total > 0 {
-			largest = max(largest, open/total)
+			largest = max(largest, moving/total)
 		}
 	}
 	return largest
 }
 
-// emptyBy returns the earliest bound of a draining site that still has work of the class.
-func (r *round) emptyBy() time.Time {
+// drainDeadline returns the earliest deadline of the draining sites that still serve buckets of the
+// class, or zero if there is none.
+func (r *round) drainDeadline() time.Time {
 	var earliest time.Time
 	for _, o := range r.in.Orders {
-		if !o.Draining || o.EmptyBy.IsZero() || !r.holdsWork(o.Site) {
+		if !o.Draining || o.EmptyBy.IsZero() || !r.hasWork(o.Site) {
 			continue
 		}
 		if earliest.IsZero() || o.EmptyBy.Before(earliest) {
@@ -159,18 +161,18 @@
 	return earliest
 }
 
-func (r *round) holdsWork(site string) bool {
-	position := r.position(site)
+func (r *round) hasWork(site string) bool {
+	position := r.positionOf(site)
 	if position == unplaced {
 		return false
 	}
-	return slices.ContainsFunc(r.from, func(buckets []int) bool {
+	return slices.ContainsFunc(r.previous, func(buckets []int) bool {
 		return slices.Contains(buckets, position)
 	})
 }
 
-// plan returns the desired placement as the next step.
-func (r *round) plan(m *lovageyard.Move) lovageyard.ClassPlan {
+// nextPlan returns the desired placement as the next step of the plan.
+func (r *round) nextPlan(m *lovageyard.Move) lovageyard.ClassPlan {
 	p := lovageyard.ClassPlan{
 		Class:     r.in.Class.Name,
 		Epoch:     r.in.Epoch,
@@ -191,13 +193,14 @@
 	return p
 }
 
-// origins returns where the work of a home's buckets may still be; unplaced if it has arrived.
+// origins returns the site that may still serve each bucket of a home, or unplaced for buckets that
+// are not moving.
 func (r *round) origins(home int) []int {
 	origins := make([]int, lovageyard.Buckets)
 	for b := range origins {
 		origins[b] = unplaced
-		if r.from[home][b] != r.desired[home][b] {
-			origins[b] = r.from[home][b]
+		if r.previous[home][b] != r.desired[home][b] {
+			origins[b] = r.previous[home][b]
 		}
 	}
 	return origins
--- a/placement/input.go
+++ b/placement/input.go
@@ -6,18 +6,18 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Site is what is known of one service at one site.
+// Site is the measured state of one service at one site.
 type Site struct {
 	Name          string
 	FailureDomain string
 	Region        string
-	// Capacity is what the site's live servers can carry, in requests a second; 0 if unknown.
+	// Capacity is the capacity of the site's live servers, in requests a second; 0 if unknown.
 	Capacity float64
 	// OtherLoad is the load of the service's other classes, in requests a second.
 	OtherLoad float64
-	// Age is how old the newest measurement is.
+	// Age is the age of the newest measurement.
 	Age time.Duration
-	// Alive says that some server takes work.
+	// Alive reports whether at least one server accepts requests.
 	Alive bool
 }
 
@@ -28,14 +28,14 @@
 	Buckets       [lovageyard.Buckets]float64
 }
 
-// Latencies are the one-way times that placement reckons with.
+// Latencies are the one-way network latencies that placement assumes.
 type Latencies struct {
 	SameDomain  time.Duration
 	SameRegion  time.Duration
 	OtherRegion time.Duration
 }
 
-// Between returns the latency from a home failure domain to a site.
+// Between returns the assumed one-way latency from a home failure domain to a site.
 func (l Latencies) Between(h Home, s Site) time.Duration {
 	switch {
 	case h.FailureDomain == s.FailureDomain:
@@ -46,7 +46,7 @@
 	return l.OtherRegion
 }
 
-// Input is all that one round of placement looks at.
+// Input is the input of one round of placement for one class.
 type Input struct {
 	Now       time.Time
 	Class     lovageyard.Class
@@ -54,23 +54,23 @@
 	Sites     []Site
 	Homes     []Home
 	Latencies Latencies
-	// Headroom is the share of a site's capacity that stays free.
+	// Headroom is the share of a site's capacity, 0 to 1, that is kept free.
 	Headroom float64
 	// Current is the plan in force; its Step is 0 if there is none.
 	Current lovageyard.ClassPlan
-	// AppliedStep is the plan step that all live entry instances apply in full.
+	// AppliedStep is the newest plan step that all live entry instances have applied in full.
 	AppliedStep int64
-	// Remaining is the largest share of work that one of them still has to move.
+	// Remaining is the largest share of demand, 0 to 1, that one of them still has to move.
 	Remaining float64
 	Epoch     int64
 }
 
 // Output is the result of one round.
 type Output struct {
-	// Plan is the plan to publish.
+	// Plan is the plan to publish, or the current one if Changed is false.
 	Plan lovageyard.ClassPlan
-	// Changed says whether Plan differs from the current one.
+	// Changed reports whether Plan differs from the current plan.
 	Changed bool
-	// Reason says why the round did what it did.
+	// Reason explains the decision to operators.
 	Reason string
 }
--- a/placement/round_test.go
+++ b/placement/round_test.go
@@ -12,7 +12,7 @@
 
 var testNow = time.Unix(10000, 0)
 
-// sites returns sites a1, a2 of region a and b1 of region b, each in a failure domain of its name.
+// sites returns sites a1 and a2 in region a and b1 in region b, each in a failure domain of the same name.
 func sites(capacity float64) []Site {
 	return []Site{
 		{Name: "a1", FailureDomain: "a1", Region: "a", Capacity: capacity, Alive: true},
@@ -58,7 +58,7 @@
 	return counts
 }
 
-// loads adds up the demand that a plan gives each site.
+// loads returns the total demand that a plan assigns to each site.
 func loads(in Input, p lovageyard.ClassPlan) map[string]float64 {
 	sums := make(map[string]float64)
 	for _, h := range in.Homes {
@@ -88,9 +88,9 @@
 	for _, test := range []struct {
 		name   string
 		change func(in *Input)
-		// empty names a site that the plan gives no work.
+		// empty is a site that must have no buckets.
 		empty string
-		// goal names the site that takes the work of home a1.
+		// goal is the site that must have all buckets of home a1.
 		goal   string
 		state  lovageyard.MoveState
 		inTime bool
@@ -157,7 +157,7 @@
 	return 0
 }
 
-func TestMoveIsHeldWhileTheGainingSiteIsOverItsLimit(t *testing.T) {
+func TestMoveIsSuspendedWhileTheReceivingSiteIsOverloaded(t *testing.T) {
 	c := qt.New(t)
 	in := input(1000, 100)
 	in.Current = Round(in).Plan
@@ -183,20 +183,20 @@
 	c.Assert(over.Plan.OriginOf("a1", 0), qt.Equals, "")
 }
 
-func TestWorkUnderWayCountsAtBothEnds(t *testing.T) {
+func TestMovingWorkCountsAtBothSites(t *testing.T) {
 	c := qt.New(t)
 	in := input(250, 100)
 	in.Current = Round(in).Plan
 	in.AppliedStep = 1
 	in.Orders = []lovageyard.SiteOrder{{Site: "a1", Draining: true}}
 	in.Current = Round(in).Plan
-	// The work of home a1 has not left yet, so that its site has no room for that of b1.
+	// The buckets of home a1 have not moved yet, so its site has no capacity left for those of b1.
 	in.Orders = []lovageyard.SiteOrder{{Site: "b1", Draining: true}}
 	out := Round(in)
 	c.Assert(loads(in, out.Plan)["a1"] <= 100+1e-6, qt.IsTrue, qt.Commentf("%v", loads(in, out.Plan)))
 }
 
-func TestRestoredSiteGetsItsWorkBack(t *testing.T) {
+func TestWorkReturnsToARestoredSite(t *testing.T) {
 	c := qt.New(t)
 	in := input(1000, 100)
 	in.Current = Round(in).Plan
@@ -205,12 +205,12 @@
 	in.Current = Round(in).Plan
 	in.AppliedStep = in.Current.Step
 	in.Orders = nil
-	in.Latencies.SameRegion = gainNeeded
+	in.Latencies.SameRegion = minLatencyGain
 	out := Round(in)
 	c.Assert(shares(out.Plan, "a1"), qt.DeepEquals, map[string]int{"a1": lovageyard.Buckets})
 }
 
-// BenchmarkRound makes rounds at the sizes of today and of the target.
+// BenchmarkRound measures a round at the current size of the system and at the target size.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range []struct {
 		name         string
