--- a/move/cell.go
+++ b/move/cell.go
@@ -2,48 +2,49 @@
 
 import "lovageyard.example/lovageyard"
 
-// whole is the fraction from which on a cell counts as moved altogether.
-const whole = 1 - 1e-9
+// completeFraction is the moved fraction from which on a cell counts as moved in full; it allows for
+// rounding errors.
+const completeFraction = 1 - 1e-9
 
-// Cell says where the work of one bucket goes.
+// Cell is the placement of one bucket of a home failure domain.
 type Cell struct {
-	// Site is where the bucket's work is.
+	// Site is the site that serves the bucket.
 	Site string
-	// Target is where it moves to; equal to Site if it does not move.
+	// Target is the site that the bucket moves to; it equals Site if the bucket does not move.
 	Target string
-	// Shifted is the fraction, 0 to 1, that has moved for good.
+	// Shifted is the fraction of the bucket, 0 to 1, that has moved permanently.
 	Shifted float64
-	// Moving says that the rest moves in this step, as far as the gate allows.
+	// Moving reports whether the rest moves in the current step, as the limiter allows.
 	Moving bool
 }
 
-// Route returns the site of a request, and whether the request counts as moved work.
-// The position is drawn anew for each request, evenly from 0 to 1, so that no client
-// outweighs the settled fraction; the rest asks the gate while the cell is moving.
-func (c *Cell) Route(position float64, g *Limiter) (site string, moved bool) {
+// Route returns the site of a request, and whether the limiter admitted the request to the target.
+// The position is a uniform random number from 0 to 1, drawn for each request, so that a client with
+// many requests does not skew the shifted fraction.
+func (c *Cell) Route(position float64, l *Limiter) (site string, moved bool) {
 	switch {
 	case c.Target == c.Site:
 		return c.Site, false
 	case position < c.Shifted:
 		return c.Target, false
-	case c.Moving && g.Allow():
+	case c.Moving && l.Allow():
 		return c.Target, true
 	}
 	return c.Site, false
 }
 
-// completeStep ends the cell's step, in which the given ratio of the rest was admitted.
+// completeStep ends the cell's step, in which the given fraction of the rest was admitted.
 func (c *Cell) completeStep(ratio float64) {
 	c.Moving = false
 	c.Shifted += (1 - c.Shifted) * ratio
-	if c.Shifted >= whole {
+	if c.Shifted >= completeFraction {
 		*c = Cell{Site: c.Target, Target: c.Target}
 	}
 }
 
-// aim points a cell that is between steps at a site. A cell that has moved in part
-// first ends that move, or turns round if it is to go back.
-func (c *Cell) aim(site string) {
+// retarget sets the target of a cell that is between steps. A cell that has moved in part first
+// completes that move, or reverses it if the new target is its original site.
+func (c *Cell) retarget(site string) {
 	switch {
 	case c.Shifted == 0:
 		*c = Cell{Site: c.Site, Target: site}
@@ -52,21 +53,21 @@
 	}
 }
 
-// Home holds the cells of one home failure domain.
+// Home holds the cells of one home failure domain, indexed by bucket.
 type Home struct {
 	FailureDomain string
 	Cells         []Cell
 }
 
-// Placement is what one entry instance applies for a class.
+// Placement is the placement that one entry instance applies for a class.
 type Placement struct {
-	// Step is the plan step whose placement the cells have reached or move to.
+	// Step is the plan step that the cells have reached or move to.
 	Step int64
 	// Homes are in the order of the plan.
 	Homes []Home
 }
 
-// FromPlan returns the placement of a plan as applied in full.
+// FromPlan returns the placement of a plan with all moves completed.
 func FromPlan(p lovageyard.ClassPlan) Placement {
 	a := Placement{Step: p.Step, Homes: make([]Home, 0, len(p.Homes))}
 	for _, h := range p.Homes {
@@ -84,7 +85,7 @@
 	return h
 }
 
-// Clone returns a copy that shares nothing with a.
+// Clone returns a deep copy.
 func (a Placement) Clone() Placement {
 	homes := make([]Home, len(a.Homes))
 	for i, h := range a.Homes {
@@ -93,7 +94,8 @@
 	return Placement{Step: a.Step, Homes: homes}
 }
 
-// Find returns the cells of a home failure domain, or nil.
+// Find returns the cells of a home failure domain, or nil if the placement has none. The cells are
+// not copied.
 func (a *Placement) Find(home string) []Cell {
 	for i := range a.Homes {
 		if a.Homes[i].FailureDomain == home {
--- a/move/gate.go
+++ b/move/gate.go
@@ -6,36 +6,37 @@
 	"sync/atomic"
 )
 
-// burstFactor times the square root of an interval's moved work is what a Gate may admit
-// at once: enough to ride out the chance in arrivals, little against the cap.
+// burstFactor times the square root of the moves that are allowed in an interval is the burst of a
+// Limiter: enough for random variation of arrivals, and small compared with the cap.
 const burstFactor = 0.5
 
-// fewest is the number of moved requests in an interval below which the gate halves its
+// minMovesPerInterval is the number of allowed moves in an interval below which the limiter halves its
 // rate, as a burst of one request would otherwise use up the cap.
-const fewest = 2
+const minMovesPerInterval = 2
 
-// Limiter admits requests to the sites that their buckets are moving to. For every run
-// of requests it admits at most the cap's share, counted over the requests themselves,
-// or one request if the cap's share is less than one.
+// Limiter admits requests to the sites that their buckets are moving to. It is a token bucket that is
+// refilled by arriving requests instead of time: of an interval's requests it admits at most the
+// share that the cap allows, or one request if that share is less than one. It is safe for
+// concurrent use.
 type Limiter struct {
 	arrivals atomic.Uint64
 
-	mu       sync.Mutex
-	rate     float64
-	burst    float64
-	tokens   float64
-	seen     uint64
-	asked    uint64
-	admitted uint64
+	mu              sync.Mutex
+	rate            float64
+	burst           float64
+	tokens          float64
+	countedArrivals uint64
+	requested       uint64
+	admitted        uint64
 }
 
-// Counts counts the requests of the moving part since the last Reset.
+// Counts counts the requests of moving cells since the last call of ResetCounts.
 type Counts struct {
 	Requested uint64
 	Admitted  uint64
 }
 
-// Ratio returns the share of the moving part's requests that were admitted; with no request, 1.
+// Ratio returns the fraction of the requests that were admitted, or 1 if there were none.
 func (z Counts) Ratio() float64 {
 	if z.Requested == 0 {
 		return 1
@@ -43,91 +44,92 @@
 	return float64(z.Admitted) / float64(z.Requested)
 }
 
-// NewLimiter returns a gate for a cap, when an interval is expected to bring so many requests.
+// NewLimiter returns a limiter for a cap, 0 to 1, and the expected number of requests in an interval.
 func NewLimiter(limit, perInterval float64) *Limiter {
-	g := &Limiter{}
-	g.SetCap(limit, perInterval)
-	return g
+	l := &Limiter{}
+	l.SetCap(limit, perInterval)
+	return l
 }
 
-// SetCap changes the cap and the number of requests expected in an interval. The rate and
-// the burst together stay within the cap for every window with so many requests.
-func (g *Limiter) SetCap(limit, perInterval float64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// SetCap changes the cap and the expected number of requests in an interval. Rate and burst together
+// stay within the cap in every window of that many requests.
+func (l *Limiter) SetCap(limit, perInterval float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if limit >= 1 {
-		g.rate = 1
-		g.burst = math.Inf(1)
-		g.tokens = math.Inf(1)
+		l.rate = 1
+		l.burst = math.Inf(1)
+		l.tokens = math.Inf(1)
 		return
 	}
 	allowed := limit * perInterval
-	g.burst = math.Max(1, burstFactor*math.Sqrt(allowed))
-	if allowed < fewest {
-		g.rate = limit / 2
+	l.burst = math.Max(1, burstFactor*math.Sqrt(allowed))
+	if allowed < minMovesPerInterval {
+		l.rate = limit / 2
 	} else {
-		g.rate = limit - g.burst/perInterval
+		l.rate = limit - l.burst/perInterval
 	}
-	if math.IsInf(g.tokens, 1) {
-		g.tokens = 0
+	if math.IsInf(l.tokens, 1) {
+		l.tokens = 0
 	}
-	g.tokens = math.Min(g.tokens, g.burst)
+	l.tokens = math.Min(l.tokens, l.burst)
 }
 
-// Debit debits moved work that did not ask the gate, so that the requests that do ask
-// make up for it.
-func (g *Limiter) Debit(requests float64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.tokens -= requests
+// Debit removes tokens for requests that moved without a call of Allow; the balance may become
+// negative, so that later calls compensate for them.
+func (l *Limiter) Debit(requests float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.tokens -= requests
 }
 
-// CountArrival counts one request of the class, wherever it goes.
-func (g *Limiter) CountArrival() {
-	g.arrivals.Add(1)
+// CountArrival counts one request of the class, whatever its site; arrivals add tokens.
+func (l *Limiter) CountArrival() {
+	l.arrivals.Add(1)
 }
 
 // Arrivals returns the number of requests counted so far.
-func (g *Limiter) Arrivals() uint64 {
-	return g.arrivals.Load()
+func (l *Limiter) Arrivals() uint64 {
+	return l.arrivals.Load()
 }
 
-// Allow says whether a request of the moving part may go to the new site.
-func (g *Limiter) Allow() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.asked++
-	if !g.takeToken() {
+// Allow reports whether a request of a moving cell may go to the cell's target.
+func (l *Limiter) Allow() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requested++
+	if !l.takeToken() {
 		return false
 	}
-	g.admitted++
+	l.admitted++
 	return true
 }
 
-// AllowFailover says whether a request that a failure forces off its site may go to another.
-func (g *Limiter) AllowFailover() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.takeToken()
+// AllowFailover reports whether a request whose site has failed may go to another site. It does not
+// count for ResetCounts.
+func (l *Limiter) AllowFailover() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.takeToken()
 }
 
-func (g *Limiter) takeToken() bool {
-	arrivals := g.arrivals.Load()
-	g.tokens = math.Min(g.burst, g.tokens+float64(arrivals-g.seen)*g.rate)
-	g.seen = arrivals
-	if g.tokens < 1 {
+func (l *Limiter) takeToken() bool {
+	arrivals := l.arrivals.Load()
+	l.tokens = math.Min(l.burst, l.tokens+float64(arrivals-l.countedArrivals)*l.rate)
+	l.countedArrivals = arrivals
+	if l.tokens < 1 {
 		return false
 	}
-	g.tokens--
+	l.tokens--
 	return true
 }
 
-// ResetCounts returns the counts of the moving part and starts them anew.
-func (g *Limiter) ResetCounts() Counts {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	z := Counts{Requested: g.asked, Admitted: g.admitted}
-	g.asked = 0
-	g.admitted = 0
+// ResetCounts returns the counts of the requests of moving cells and sets them to 0.
+func (l *Limiter) ResetCounts() Counts {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	z := Counts{Requested: l.requested, Admitted: l.admitted}
+	l.requested = 0
+	l.admitted = 0
 	return z
 }
--- a/move/gate_test.go
+++ b/move/gate_test.go
@@ -8,27 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// TestGateNeverExceedsCap checks every window of every length against the gate's bound,
-// and every window of at least one interval's requests against the cap itself.
-func TestGateNeverExceedsCap(t *testing.T) {
+// TestLimiterNeverExceedsCap checks the cap in every window of at most one interval's requests.
+func TestLimiterNeverExceedsCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.001, 0.99).Draw(t, "cap")
 		interval := rapid.IntRange(2, 400).Draw(t, "interval")
-		asks := rapid.SliceOfN(rapid.Bool(), 1, 3*interval).Draw(t, "asks")
+		requested := rapid.SliceOfN(rapid.Bool(), 1, 3*interval).Draw(t, "asks")
 		always := rapid.Bool().Draw(t, "always")
-		forced := rapid.SliceOfN(rapid.Bool(), len(asks), len(asks)).Draw(t, "forced")
-		g := NewLimiter(limit, float64(interval))
-		moved := make([]int, len(asks)+1)
-		for i, asked := range asks {
-			g.CountArrival()
+		forced := rapid.SliceOfN(rapid.Bool(), len(requested), len(requested)).Draw(t, "forced")
+		l := NewLimiter(limit, float64(interval))
+		moved := make([]int, len(requested)+1)
+		for i, request := range requested {
+			l.CountArrival()
 			moved[i+1] = moved[i]
-			if (asked || always) && (forced[i] && g.AllowFailover() || !forced[i] && g.Allow()) {
+			if (request || always) && (forced[i] && l.AllowFailover() || !forced[i] && l.Allow()) {
 				moved[i+1]++
 			}
 		}
 		allowed := math.Max(1, limit*float64(interval))
-		for from := range asks {
-			to := min(len(asks), from+interval)
+		for from := range requested {
+			to := min(len(requested), from+interval)
 			if got := float64(moved[to] - moved[from]); got > allowed+1e-6 {
 				t.Fatalf("%v of %d requests moved, the cap allows %v", got, to-from, allowed)
 			}
@@ -36,7 +35,7 @@
 	})
 }
 
-func TestGateUsesTheCap(t *testing.T) {
+func TestLimiterUsesTheCap(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		limit    float64
@@ -49,16 +48,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			g := NewLimiter(test.limit, float64(test.interval))
+			l := NewLimiter(test.limit, float64(test.interval))
 			moved := 0
 			for range test.interval {
-				g.CountArrival()
-				if g.Allow() {
+				l.CountArrival()
+				if l.Allow() {
 					moved++
 				}
 			}
 			c.Assert(float64(moved) >= test.least*test.limit*float64(test.interval), qt.IsTrue, qt.Commentf("moved %d", moved))
-			c.Assert(g.ResetCounts().Requested, qt.Equals, uint64(test.interval))
+			c.Assert(l.ResetCounts().Requested, qt.Equals, uint64(test.interval))
 		})
 	}
 }
--- a/move/main_test.go
+++ b/move/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain pins the seed, so that every run gives the same verdict.
+// TestMain fixes the seed, so that the property tests are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "100"} {
--- a/move/stepper.go
+++ b/move/stepper.go
@@ -7,22 +7,23 @@
 	"lovageyard.example/lovageyard"
 )
 
-// overcommit is how much more work a step opens than the cap lets through, so that the
-// gate always finds a request to admit.
-const overcommit = 2
+// overcommitFactor is the ratio of the demand of the cells that a step starts to move to the demand
+// that the cap admits. With more requests than tokens, the limiter uses the whole cap.
+const overcommitFactor = 2
 
-// certainty is how many standard deviations of chance the last step leaves below the cap.
-const certainty = 3
+// safetyDeviations is the distance from the cap, in standard deviations of the number of arrivals,
+// that the last step has to keep.
+const safetyDeviations = 3
 
-// Demand counts the requests of a class that one entry instance saw of late.
+// Demand is the recent demand for a class at one entry instance, in requests per interval.
 type Demand struct {
-	// Total is the number of requests in one interval.
+	// Total is the demand of all homes together.
 	Total float64
-	// Homes holds the share of each home failure domain.
+	// Homes holds the demand of each home failure domain.
 	Homes []HomeDemand
 }
 
-// HomeDemand counts the requests of one home failure domain, bucket by bucket.
+// HomeDemand is the demand of one home failure domain, indexed by bucket.
 type HomeDemand struct {
 	FailureDomain string
 	Buckets       []float64
@@ -38,50 +39,50 @@
 	return 0
 }
 
-// Stepper moves one class's work at one entry instance towards the newest plan, in
-// steps that are at least one interval apart and each within the cap.
+// Stepper moves one class's buckets at one entry instance towards the newest plan, in steps that take
+// at least one interval each and stay within the cap. It is not safe for concurrent use.
 type Stepper struct {
-	gate        *Limiter
+	limiter     *Limiter
 	target      lovageyard.Target
 	plan        lovageyard.ClassPlan
 	applied     Placement
 	initialized bool
 	moving      bool
 	steppedAt   time.Time
-	// generation grows with each change of what is applied.
+	// generation is incremented with each change of applied.
 	generation uint64
 }
 
-// NewStepper returns a Stepper without a placement; Adopt gives it one.
+// NewStepper returns a Stepper without a placement; Initialize sets the first one.
 func NewStepper(target lovageyard.Target) *Stepper {
 	return &Stepper{
-		gate:   NewLimiter(target.Cap, 0),
-		target: target,
+		limiter: NewLimiter(target.Cap, 0),
+		target:  target,
 	}
 }
 
-// Limiter returns the gate that the stepper's routes pass.
+// Limiter returns the limiter to which the stepper's cells have to be routed.
 func (s *Stepper) Limiter() *Limiter {
-	return s.gate
+	return s.limiter
 }
 
-// Generation grows with each change of what Applied returns.
+// Generation returns a number that grows with each change of the applied placement.
 func (s *Stepper) Generation() uint64 {
 	return s.generation
 }
 
-// Initialized says whether the stepper has a placement.
+// Initialized reports whether the stepper has a placement.
 func (s *Stepper) Initialized() bool {
 	return s.initialized
 }
 
-// Applied returns a copy of what the stepper applies.
+// Applied returns a copy of the placement that the stepper applies.
 func (s *Stepper) Applied() Placement {
 	return s.applied.Clone()
 }
 
-// Initialize takes over a placement that is in force elsewhere; only the first one counts.
-// The steps that others may have under way are taken as just begun.
+// Initialize sets the first placement, as a neighbour applies it or from a plan; later calls do
+// nothing. A step that is under way in it counts as started now.
 func (s *Stepper) Initialize(a Placement, now time.Time) {
 	if s.initialized {
 		return
@@ -93,12 +94,12 @@
 	s.moving = s.anyMoving()
 }
 
-// SetTarget takes in a changed target of the class.
+// SetTarget changes the class's target, which holds the cap and the interval.
 func (s *Stepper) SetTarget(t lovageyard.Target) {
 	s.target = t
 }
 
-// SetPlan takes in a plan; an older one is ignored.
+// SetPlan sets the plan to move towards. A plan with an older step is ignored.
 func (s *Stepper) SetPlan(p lovageyard.ClassPlan) {
 	if p.Step < s.plan.Step {
 		return
@@ -106,52 +107,53 @@
 	s.plan = p
 }
 
-// Progress returns the plan step that is applied in full, and the share of demand that still has to move.
+// Progress returns the newest plan step that is applied in full, and the share of demand, 0 to 1, that
+// still has to move.
 func (s *Stepper) Progress(d Demand) (step int64, remaining float64) {
 	if !s.initialized {
 		return 0, 1
 	}
-	open := s.open(d)
+	open := s.remainingShare(d)
 	if open == 0 && !s.moving {
 		return s.plan.Step, 0
 	}
 	return s.applied.Step, open
 }
 
-// Tick ends a step that is over and begins the next; it says whether anything changed.
-// The gate's owner keeps the gate set to the present demand.
-// The level argument says that every peer that shares this instance's clients has
-// begun the step that this instance has under way.
-func (s *Stepper) Tick(now time.Time, d Demand, level bool) bool {
+// Tick completes a step whose interval is over and starts the next one; it reports whether anything
+// changed. A step is completed only if peersStarted is true: all peers that share this instance's
+// clients must have started the same step. The caller keeps the limiter's cap up to date with the
+// demand.
+func (s *Stepper) Tick(now time.Time, d Demand, peersStarted bool) bool {
 	if !s.initialized || s.plan.Step == 0 {
 		return false
 	}
 	before := s.applied.Step
-	changed := s.tick(now, d, level)
+	changed := s.tick(now, d, peersStarted)
 	if changed || before != s.applied.Step {
 		s.generation++
 	}
 	return changed
 }
 
-func (s *Stepper) tick(now time.Time, d Demand, level bool) bool {
+func (s *Stepper) tick(now time.Time, d Demand, peersStarted bool) bool {
 	changed := s.addHomes()
 	if s.moving {
-		if !s.intervalOver(now) || !level {
+		if !s.intervalOver(now) || !peersStarted {
 			return changed
 		}
-		s.settle()
+		s.completeStep()
 		changed = true
 	}
-	return s.begin(now, d) || changed
+	return s.startStep(now, d) || changed
 }
 
-// Due says whether Tick has something to do at a time.
+// Due reports whether Tick may have something to do at the given time.
 func (s *Stepper) Due(now time.Time) bool {
 	return !s.moving || s.intervalOver(now)
 }
 
-// Idle says whether no step is under way.
+// Idle reports whether the stepper is initialized and no step is under way.
 func (s *Stepper) Idle() bool {
 	return s.initialized && !s.moving
 }
@@ -160,7 +162,7 @@
 	return now.Sub(s.steppedAt) >= s.target.Interval.Std()
 }
 
-// addHomes takes over the placement of home failure domains that the plan has newly got.
+// addHomes adds the home failure domains that are new in the plan, with all moves completed.
 func (s *Stepper) addHomes() bool {
 	added := false
 	for _, h := range s.plan.Homes {
@@ -172,8 +174,8 @@
 	return added
 }
 
-func (s *Stepper) settle() {
-	ratio := s.gate.ResetCounts().Ratio()
+func (s *Stepper) completeStep() {
+	ratio := s.limiter.ResetCounts().Ratio()
 	for i := range s.applied.Homes {
 		cells := s.applied.Homes[i].Cells
 		for b := range cells {
@@ -185,9 +187,9 @@
 	s.moving = false
 }
 
-// begin opens the next step. A held move begins nothing.
-func (s *Stepper) begin(now time.Time, d Demand) bool {
-	cells := s.openCells(d)
+// startStep starts the next step, unless the move is suspended.
+func (s *Stepper) startStep(now time.Time, d Demand) bool {
+	cells := s.pendingCells(d)
 	if len(cells) == 0 {
 		s.applied.Step = s.plan.Step
 		return false
@@ -195,71 +197,71 @@
 	if s.plan.Move != nil && s.plan.Move.State == lovageyard.MoveHeld {
 		return false
 	}
-	s.gate.ResetCounts()
-	left := 0.0
+	s.limiter.ResetCounts()
+	demand := 0.0
 	for _, c := range cells {
-		left += c.left
+		demand += c.demand
 	}
-	if left+certainty*math.Sqrt(left) <= s.target.Cap*d.Total {
-		s.finish(cells, left)
+	if demand+safetyDeviations*math.Sqrt(demand) <= s.target.Cap*d.Total {
+		s.moveRest(cells, demand)
 	} else {
-		openSome(cells, overcommit*s.target.Cap*d.Total)
+		startCells(cells, overcommitFactor*s.target.Cap*d.Total)
 	}
 	s.moving = true
 	s.steppedAt = now
 	return true
 }
 
-// openCell is a cell that has to move, with the demand that it has left.
-type openCell struct {
+// pendingCell is a cell that has to move, with the demand that has not moved yet.
+type pendingCell struct {
 	*Cell
-	left float64
+	demand float64
 }
 
-// openCells points all cells at the plan and returns those that have to move.
-func (s *Stepper) openCells(d Demand) []openCell {
-	var cells []openCell
+// pendingCells sets the targets of all cells from the plan and returns the cells that have to move.
+func (s *Stepper) pendingCells(d Demand) []pendingCell {
+	var cells []pendingCell
 	for i := range s.applied.Homes {
 		h := &s.applied.Homes[i]
 		for b := range h.Cells {
 			c := &h.Cells[b]
-			if s.aim(c, h.FailureDomain, b) {
-				cells = append(cells, openCell{Cell: c, left: d.Bucket(h.FailureDomain, b) * (1 - c.Shifted)})
+			if s.retarget(c, h.FailureDomain, b) {
+				cells = append(cells, pendingCell{Cell: c, demand: d.Bucket(h.FailureDomain, b) * (1 - c.Shifted)})
 			}
 		}
 	}
 	return cells
 }
 
-// finish moves the rest at once: it is so little that chance alone can't lift it over
-// the cap. The gate is charged for it.
-func (s *Stepper) finish(cells []openCell, left float64) {
+// moveRest moves the remaining cells immediately and debits the limiter. The caller has checked that
+// random variation alone can't raise their demand above the cap.
+func (s *Stepper) moveRest(cells []pendingCell, demand float64) {
 	for _, c := range cells {
 		*c.Cell = Cell{Site: c.Target, Target: c.Target}
 	}
-	s.gate.Debit(left)
+	s.limiter.Debit(demand)
 }
 
-// openSome opens cells in their order until they hold the wanted work.
-func openSome(cells []openCell, wanted float64) {
+// startCells marks cells as moving, in order, until they have the wanted demand together.
+func startCells(cells []pendingCell, wanted float64) {
 	opened := 0.0
 	for i, c := range cells {
 		if i > 0 && opened >= wanted {
 			return
 		}
 		c.Moving = true
-		opened += c.left
+		opened += c.demand
 	}
 }
 
-// aim points a cell at its site in the plan and says whether it has to move.
-func (s *Stepper) aim(c *Cell, home string, bucket int) bool {
+// retarget sets a cell's target to its site in the plan and reports whether the cell has to move.
+func (s *Stepper) retarget(c *Cell, home string, bucket int) bool {
 	site := s.plan.SiteOf(home, bucket)
 	if site == "" {
 		return c.Target != c.Site
 	}
 	if c.Target != site {
-		c.aim(site)
+		c.retarget(site)
 	}
 	return c.Target != c.Site
 }
@@ -275,11 +277,12 @@
 	return false
 }
 
-// open returns the share of demand whose cells have not reached the plan.
-func (s *Stepper) open(d Demand) float64 {
+// remainingShare returns the share of demand whose cells have not reached the plan, or the share of
+// cells if there is no demand.
+func (s *Stepper) remainingShare(d Demand) float64 {
 	buckets := 0
 	count := 0
-	work := 0.0
+	demand := 0.0
 	for i := range s.applied.Homes {
 		h := &s.applied.Homes[i]
 		for b := range h.Cells {
@@ -290,14 +293,14 @@
 				continue
 			}
 			buckets++
-			work += d.Bucket(h.FailureDomain, b) * (1 - c.Shifted)
+			demand += d.Bucket(h.FailureDomain, b) * (1 - c.Shifted)
 		}
 	}
 	if buckets == 0 {
 		return 0
 	}
-	if d.Total > 0 && work > 0 {
-		return work / d.Total
+	if d.Total > 0 && demand > 0 {
+		return demand / d.Total
 	}
 	return float64(buckets) / float64(count)
 }
--- a/move/stepper_test.go
+++ b/move/stepper_test.go
@@ -30,25 +30,25 @@
 	}
 }
 
-// world drives one stepper with a fixed, skewed demand and keeps each request.
-type world struct {
+// simulation drives one stepper with a constant, skewed demand and logs each request.
+type simulation struct {
 	stepper *Stepper
 	now     time.Time
 	demand  Demand
 	weights []float64
 	random  *rand.Rand
-	log     []sent
+	log     []request
 }
 
-// sent is one request, with the share of its bucket that was at the other site before.
-type sent struct {
+// request is one logged request and the site that it was routed to.
+type request struct {
 	at     time.Time
 	bucket int
 	site   string
 }
 
-func newWorld(limit float64, perInterval int, seed uint64, skew float64) *world {
-	w := &world{
+func newSimulation(limit float64, perInterval int, seed uint64, skew float64) *simulation {
+	s := &simulation{
 		stepper: NewStepper(lovageyard.Target{Cap: limit, Interval: lovageyard.Duration(testInterval)}),
 		now:     time.Unix(1000, 0),
 		random:  rand.New(rand.NewPCG(seed, seed)),
@@ -56,72 +56,72 @@
 	total := 0.0
 	for b := range lovageyard.Buckets {
 		weight := 1 / math.Pow(float64(b+1), skew)
-		w.weights = append(w.weights, weight)
+		s.weights = append(s.weights, weight)
 		total += weight
 	}
 	buckets := make([]float64, lovageyard.Buckets)
 	for b := range buckets {
-		w.weights[b] /= total
-		buckets[b] = w.weights[b] * float64(perInterval)
+		s.weights[b] /= total
+		buckets[b] = s.weights[b] * float64(perInterval)
 	}
-	w.stepper.Limiter().SetCap(limit, float64(perInterval))
-	w.demand = Demand{Total: float64(perInterval), Homes: []HomeDemand{{FailureDomain: testHome, Buckets: buckets}}}
-	return w
+	s.stepper.Limiter().SetCap(limit, float64(perInterval))
+	s.demand = Demand{Total: float64(perInterval), Homes: []HomeDemand{{FailureDomain: testHome, Buckets: buckets}}}
+	return s
 }
 
-func (w *world) bucket() int {
-	u := w.random.Float64()
-	for b, weight := range w.weights {
+func (s *simulation) bucket() int {
+	u := s.random.Float64()
+	for b, weight := range s.weights {
 		if u -= weight; u < 0 {
 			return b
 		}
 	}
-	return len(w.weights) - 1
+	return len(s.weights) - 1
 }
 
-// pass lets one interval's requests arrive, evenly spaced, and ticks before each.
-func (w *world) pass(requests int) {
+// runInterval simulates one interval with evenly spaced requests, and ticks before each of them.
+func (s *simulation) runInterval(requests int) {
 	for range requests {
-		w.now = w.now.Add(testInterval / time.Duration(requests))
-		w.stepper.Tick(w.now, w.demand, true)
-		w.stepper.Limiter().CountArrival()
-		b := w.bucket()
-		cells := w.stepper.applied.Find(testHome)
-		site, _ := cells[b].Route(w.random.Float64(), w.stepper.Limiter())
-		w.log = append(w.log, sent{at: w.now, bucket: b, site: site})
+		s.now = s.now.Add(testInterval / time.Duration(requests))
+		s.stepper.Tick(s.now, s.demand, true)
+		s.stepper.Limiter().CountArrival()
+		b := s.bucket()
+		cells := s.stepper.applied.Find(testHome)
+		site, _ := cells[b].Route(s.random.Float64(), s.stepper.Limiter())
+		s.log = append(s.log, request{at: s.now, bucket: b, site: site})
 	}
 }
 
-func (w *world) at(site string, from, to int) float64 {
+func (s *simulation) countAt(site string, from, to int) float64 {
 	count := 0.0
-	for _, s := range w.log[from:to] {
-		if s.site == site {
+	for _, r := range s.log[from:to] {
+		if r.site == site {
 			count++
 		}
 	}
 	return count
 }
 
-// TestStepperKeepsWithinCap counts the requests themselves: the share that a site gains
-// from one interval to the next stays within the cap, but for chance.
+// TestStepperKeepsWithinCap checks that the share of requests that a site gains from one interval to the
+// next stays within the cap, up to random variation.
 func TestStepperKeepsWithinCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.1, 0.5).Draw(t, "cap")
 		skew := rapid.Float64Range(0, 1.5).Draw(t, "skew")
 		seed := rapid.Uint64().Draw(t, "seed")
 		const requests = 1000
-		w := newWorld(limit, requests, seed, skew)
-		w.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
-		w.stepper.Initialize(FromPlan(w.stepper.plan), w.now)
-		w.pass(requests)
-		w.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
+		s := newSimulation(limit, requests, seed, skew)
+		s.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
+		s.stepper.Initialize(FromPlan(s.stepper.plan), s.now)
+		s.runInterval(requests)
+		s.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
 		for range int(2/limit) + 2 {
-			w.pass(requests)
+			s.runInterval(requests)
 		}
-		// The deviation of the difference of two counts, four times.
+		// Four standard deviations of the difference of two counts.
 		slack := 4 * math.Sqrt(requests/2)
-		for from := 0; from+2*requests <= len(w.log); from += requests / 20 {
-			gained := w.at("b", from+requests, from+2*requests) - w.at("b", from, from+requests)
+		for from := 0; from+2*requests <= len(s.log); from += requests / 20 {
+			gained := s.countAt("b", from+requests, from+2*requests) - s.countAt("b", from, from+requests)
 			if gained > limit*requests+slack {
 				t.Fatalf("site b gained %v of %v requests in one interval under a cap of %v", gained, requests, limit)
 			}
@@ -129,7 +129,7 @@
 	})
 }
 
-func TestStepperEndsInTime(t *testing.T) {
+func TestStepperCompletesInTime(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		limit    float64
@@ -144,58 +144,58 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(test.limit, test.requests, 7, test.skew)
-			w.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
-			w.stepper.Initialize(FromPlan(w.stepper.plan), w.now)
-			w.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
+			s := newSimulation(test.limit, test.requests, 7, test.skew)
+			s.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
+			s.stepper.Initialize(FromPlan(s.stepper.plan), s.now)
+			s.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
 			least := 1 / test.limit
 			for range int(math.Ceil(test.most * least)) {
-				w.pass(test.requests)
+				s.runInterval(test.requests)
 			}
-			c.Assert(w.at("a", len(w.log)-test.requests/2, len(w.log)), qt.Equals, 0.0)
-			w.pass(test.requests)
-			w.stepper.Tick(w.now.Add(testInterval), w.demand, true)
-			step, left := w.stepper.Progress(w.demand)
+			c.Assert(s.countAt("a", len(s.log)-test.requests/2, len(s.log)), qt.Equals, 0.0)
+			s.runInterval(test.requests)
+			s.stepper.Tick(s.now.Add(testInterval), s.demand, true)
+			step, left := s.stepper.Progress(s.demand)
 			c.Assert(step, qt.Equals, int64(2))
 			c.Assert(left, qt.Equals, 0.0)
 		})
 	}
 }
 
-func TestStepperWaitsForLevelPeers(t *testing.T) {
+func TestStepperWaitsForItsPeers(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(0.1, 1000, 1, 0)
-	w.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
-	w.stepper.Initialize(FromPlan(w.stepper.plan), w.now)
-	w.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
-	c.Assert(w.stepper.Tick(w.now, w.demand, true), qt.IsTrue)
-	w.now = w.now.Add(5 * testInterval)
-	c.Assert(w.stepper.Tick(w.now, w.demand, false), qt.IsFalse)
-	c.Assert(w.stepper.Tick(w.now, w.demand, true), qt.IsTrue)
+	s := newSimulation(0.1, 1000, 1, 0)
+	s.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
+	s.stepper.Initialize(FromPlan(s.stepper.plan), s.now)
+	s.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
+	c.Assert(s.stepper.Tick(s.now, s.demand, true), qt.IsTrue)
+	s.now = s.now.Add(5 * testInterval)
+	c.Assert(s.stepper.Tick(s.now, s.demand, false), qt.IsFalse)
+	c.Assert(s.stepper.Tick(s.now, s.demand, true), qt.IsTrue)
 }
 
-func TestStepperHoldsAndTurnsRound(t *testing.T) {
+func TestStepperSuspendsAndReversesAMove(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(0.2, 1000, 1, 0)
-	w.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
-	w.stepper.Initialize(FromPlan(w.stepper.plan), w.now)
-	w.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
-	w.pass(1000)
+	s := newSimulation(0.2, 1000, 1, 0)
+	s.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
+	s.stepper.Initialize(FromPlan(s.stepper.plan), s.now)
+	s.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
+	s.runInterval(1000)
 	held := planOf(2, []string{"a", "b"}, func(int) int { return 1 })
 	held.Move = &lovageyard.Move{State: lovageyard.MoveHeld}
-	w.stepper.SetPlan(held)
-	w.pass(1000)
-	before := w.at("b", 1000, 2000)
-	w.pass(1000)
-	c.Assert(math.Abs(w.at("b", 2000, 3000)-before) < 150, qt.IsTrue)
-	w.stepper.SetPlan(planOf(3, []string{"a", "b"}, func(int) int { return 0 }))
+	s.stepper.SetPlan(held)
+	s.runInterval(1000)
+	before := s.countAt("b", 1000, 2000)
+	s.runInterval(1000)
+	c.Assert(math.Abs(s.countAt("b", 2000, 3000)-before) < 150, qt.IsTrue)
+	s.stepper.SetPlan(planOf(3, []string{"a", "b"}, func(int) int { return 0 }))
 	for range 4 {
-		w.pass(1000)
+		s.runInterval(1000)
 	}
-	c.Assert(w.at("b", len(w.log)-500, len(w.log)), qt.Equals, 0.0)
+	c.Assert(s.countAt("b", len(s.log)-500, len(s.log)), qt.Equals, 0.0)
 }
 
-func TestStepperIgnoresOldPlansAndSecondAdoption(t *testing.T) {
+func TestStepperIgnoresOldPlansAndSecondInitialization(t *testing.T) {
 	c := qt.New(t)
 	s := NewStepper(lovageyard.Target{Cap: 0.1, Interval: lovageyard.Duration(testInterval)})
 	now := time.Unix(1000, 0)
