--- a/backpressure/bench_test.go
+++ b/backpressure/bench_test.go
@@ -17,6 +17,6 @@
 	now := time.Unix(1000, 0)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		r.Hear(lovageyard.Notice{Limited: true, Limit: float64(i%2 + 1)}, now, now)
+		r.Observe(lovageyard.Notice{Limited: true, Limit: float64(i%2 + 1)}, now, now)
 	}
 }
--- a/backpressure/play_test.go
+++ b/backpressure/play_test.go
@@ -42,9 +42,9 @@
 	if !m.record.Allows(now) {
 		return false
 	}
-	m.record.Take(now)
+	m.record.RecordSend(now)
 	counts := !m.toldAt.IsZero() && now.Sub(m.toldAt) >= toldAfter
-	m.record.Hear(lovageyard.Notice{Limited: true, Limit: limit}, now, now.Add(time.Millisecond))
+	m.record.Observe(lovageyard.Notice{Limited: true, Limit: limit}, now, now.Add(time.Millisecond))
 	if m.toldAt.IsZero() {
 		m.toldAt = now
 	}
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -42,7 +42,7 @@
 	// rate is this instance's part of the limit in requests a second, or 0 if it has none, and
 	// allowance spends it.
 	rate      float64
-	allowance *grant.Allowance
+	allowance *grant.TokenBucket
 	// trialEvery is the time between two trials of an instance without a part; triedAt was the last one.
 	trialEvery time.Duration
 	triedAt    time.Time
@@ -69,8 +69,8 @@
 	Backoff bool
 }
 
-// Hear takes in what an answer says to a request that was sent at a time.
-func (r *Record) Hear(n lovageyard.Notice, sentAt, now time.Time) Change {
+// Observe takes in what an answer says to a request that was sent at a time.
+func (r *Record) Observe(n lovageyard.Notice, sentAt, now time.Time) Change {
 	change := Change{Limit: r.hearLimit(n, sentAt, now), Leaving: n.Leaving && !r.leaving}
 	r.leaving = r.leaving || n.Leaving
 	if n.Backoff > 0 {
@@ -98,7 +98,7 @@
 	case n.Limited:
 		if !r.limited {
 			r.namedAt = now
-			r.allowance = grant.NewAllowance(0, now)
+			r.allowance = grant.NewTokenBucket(0, now)
 		}
 		r.limited, r.limit, r.heardAt = true, n.Limit, now
 		r.divide(now)
@@ -112,7 +112,7 @@
 
 // divide works out this instance's part of the limit.
 func (r *Record) divide(now time.Time) {
-	r.rate = grant.Part(limitShare*r.limit, r.instances, r.server, r.self)
+	r.rate = grant.ShareOf(limitShare*r.limit, r.instances, r.server, r.self)
 	r.allowance.SetRate(r.rate, now)
 	trials := trialShare*r.limit + leastTrials
 	r.trialEvery = max(trialSpan, time.Duration(float64(len(r.instances))/trials*float64(time.Second)))
@@ -130,24 +130,24 @@
 
 // Allows says whether the server may get a request now.
 func (r *Record) Allows(now time.Time) bool {
-	until, ever := r.Until(now)
+	until, ever := r.EarliestSend(now)
 	return ever && !until.After(now)
 }
 
-// Take notes that a request is sent to the server.
-func (r *Record) Take(now time.Time) {
+// RecordSend notes that a request is sent to the server.
+func (r *Record) RecordSend(now time.Time) {
 	if r.limited && !r.allowance.Take(now) {
 		r.triedAt = now
 	}
 }
 
-// Refuses says whether the server takes nothing now, whatever limit it names.
-func (r *Record) Refuses(now time.Time) bool {
+// Rejects says whether the server takes nothing now, whatever limit it names.
+func (r *Record) Rejects(now time.Time) bool {
 	return r.leaving || now.Before(r.backoffUntil)
 }
 
-// Until returns when the server may get a request at the earliest, or false if it never will.
-func (r *Record) Until(now time.Time) (time.Time, bool) {
+// EarliestSend returns when the server may get a request at the earliest, or false if it never will.
+func (r *Record) EarliestSend(now time.Time) (time.Time, bool) {
 	if r.leaving {
 		return time.Time{}, false
 	}
--- a/backpressure/record_test.go
+++ b/backpressure/record_test.go
@@ -39,8 +39,8 @@
 	if !r.Allows(now) {
 		return false
 	}
-	r.Take(now)
-	r.Hear(lovageyard.Notice{Limited: f.limited, Limit: f.limit}, now, now)
+	r.RecordSend(now)
+	r.Observe(lovageyard.Notice{Limited: f.limited, Limit: f.limit}, now, now)
 	f.sends = append(f.sends, now)
 	return true
 }
@@ -142,12 +142,12 @@
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	c.Assert(r.Hear(lovageyard.Notice{Limited: true, Limit: 2}, at(0), at(10)).Limit, qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{}, at(5), at(20)).Limit, qt.IsFalse)
-	c.Assert(r.Hear(lovageyard.Notice{Unclear: true}, at(20), at(30)).Limit, qt.IsFalse)
+	c.Assert(r.Observe(lovageyard.Notice{Limited: true, Limit: 2}, at(0), at(10)).Limit, qt.IsTrue)
+	c.Assert(r.Observe(lovageyard.Notice{}, at(5), at(20)).Limit, qt.IsFalse)
+	c.Assert(r.Observe(lovageyard.Notice{Unclear: true}, at(20), at(30)).Limit, qt.IsFalse)
 	_, limited := r.Limit()
 	c.Assert(limited, qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{}, at(20), at(30)).Limit, qt.IsTrue)
+	c.Assert(r.Observe(lovageyard.Notice{}, at(20), at(30)).Limit, qt.IsTrue)
 	_, limited = r.Limit()
 	c.Assert(limited, qt.IsFalse)
 	c.Assert(r.Allows(at(30)), qt.IsTrue)
@@ -163,7 +163,7 @@
 			f.ask(n, start)
 			now := start
 			for range 5 {
-				until, _ := f.records[n].Until(now)
+				until, _ := f.records[n].EarliestSend(now)
 				c.Assert(f.records[n].Allows(until), qt.IsTrue)
 				f.ask(n, until)
 				now = until
@@ -176,10 +176,10 @@
 func TestLeavingLasts(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
-	c.Assert(r.Hear(lovageyard.Notice{Leaving: true}, start, start).Leaving, qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{}, start.Add(time.Second), start.Add(time.Second)), qt.Equals, Change{})
+	c.Assert(r.Observe(lovageyard.Notice{Leaving: true}, start, start).Leaving, qt.IsTrue)
+	c.Assert(r.Observe(lovageyard.Notice{}, start.Add(time.Second), start.Add(time.Second)), qt.Equals, Change{})
 	c.Assert(r.Allows(start.Add(time.Hour)), qt.IsFalse)
-	_, ever := r.Until(start)
+	_, ever := r.EarliestSend(start)
 	c.Assert(ever, qt.IsFalse)
 }
 
@@ -188,14 +188,14 @@
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	c.Assert(r.Hear(lovageyard.Notice{Backoff: 3 * time.Second}, at(0), at(10)).Backoff, qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{Backoff: time.Second}, at(0), at(20)).Backoff, qt.IsFalse)
-	c.Assert(r.Hear(lovageyard.Notice{}, at(5), at(30)), qt.Equals, Change{})
-	c.Assert(r.Refuses(at(3009)), qt.IsTrue)
+	c.Assert(r.Observe(lovageyard.Notice{Backoff: 3 * time.Second}, at(0), at(10)).Backoff, qt.IsTrue)
+	c.Assert(r.Observe(lovageyard.Notice{Backoff: time.Second}, at(0), at(20)).Backoff, qt.IsFalse)
+	c.Assert(r.Observe(lovageyard.Notice{}, at(5), at(30)), qt.Equals, Change{})
+	c.Assert(r.Rejects(at(3009)), qt.IsTrue)
 	c.Assert(r.Allows(at(3009)), qt.IsFalse)
-	until, ever := r.Until(at(30))
+	until, ever := r.EarliestSend(at(30))
 	c.Assert(ever, qt.IsTrue)
 	c.Assert(until, qt.Equals, at(3010))
 	c.Assert(r.Allows(until), qt.IsTrue)
-	c.Assert(r.Hear(lovageyard.Notice{Backoff: time.Second}, at(3010), at(3020)).Backoff, qt.IsTrue)
+	c.Assert(r.Observe(lovageyard.Notice{Backoff: time.Second}, at(3010), at(3020)).Backoff, qt.IsTrue)
 }
--- a/caller/answer.go
+++ b/caller/answer.go
@@ -106,7 +106,7 @@
 	if code != http.StatusEarlyHints {
 		return nil
 	}
-	copyHeader(x.writer.Header(), link.EndToEnd(http.Header(header)))
+	copyHeader(x.writer.Header(), link.EndToEndHeaders(http.Header(header)))
 	x.writer.WriteHeader(code)
 	for name := range header {
 		x.writer.Header().Del(name)
@@ -117,7 +117,7 @@
 func (x *exchange) head(response *http.Response) {
 	header := x.writer.Header()
 	closing := header.Get("Connection")
-	copyHeader(header, link.EndToEnd(response.Header))
+	copyHeader(header, link.EndToEndHeaders(response.Header))
 	header.Del(lovageyard.LoadHeader)
 	header.Set(lovageyard.SiteHeader, x.choice.Site)
 	if closing != "" {
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -110,11 +110,11 @@
 			Class:  k,
 			Gate:   gate,
 			Forced: gate,
-			Budget: server.NewBudget(),
-			Sites:  []route.Site{{Name: "near", Pool: r.pool, Allowance: grant.NewAllowance(0, now), Local: true}},
+			Budget: server.NewRetryBudget(),
+			Sites:  []route.Site{{Name: "near", Pool: r.pool, Allowance: grant.NewTokenBucket(0, now), Local: true}},
 		})
 	}
-	client := link.New(link.OwnHeaders{}, timer.Clock{}, nil)
+	client := link.New(link.LoadHeaderCodec{}, timer.Clock{}, nil)
 	charges := charge.NewBook(memory.NewStore(), timer.Clock{}, "near-1/1")
 	handler := NewHandler(Parts{
 		Source:   r,
@@ -389,10 +389,10 @@
 	<-began
 	conn.Close()
 	<-cancelled
-	for r.pool.Census(time.Now()).InFlight > 0 {
+	for r.pool.Stats(time.Now()).InFlight > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c.Assert(r.pool.Census(time.Now()).Suspects, qt.HasLen, 0)
+	c.Assert(r.pool.Stats(time.Now()).Suspects, qt.HasLen, 0)
 }
 
 func TestLeavingServerIsPassedOn(t *testing.T) {
@@ -406,7 +406,7 @@
 	response.Body.Close()
 	c.Assert(response.Header.Get(lovageyard.LoadHeader), qt.Equals, "")
 	c.Assert(r.leaving, qt.DeepEquals, []string{"server-1"})
-	c.Assert(r.pool.TakesWork(), qt.IsFalse)
+	c.Assert(r.pool.HasAvailable(), qt.IsFalse)
 }
 
 func TestLookUp(t *testing.T) {
@@ -569,7 +569,7 @@
 			c.Assert(err, qt.IsNil)
 			response.Body.Close()
 			c.Assert(response.StatusCode >= 500, qt.IsTrue)
-			c.Assert(len(r.pool.Census(time.Now()).Suspects) > 0, qt.Equals, test.suspect)
+			c.Assert(len(r.pool.Stats(time.Now()).Suspects) > 0, qt.Equals, test.suspect)
 		})
 	}
 }
--- a/caller/charge.go
+++ b/caller/charge.go
@@ -100,7 +100,7 @@
 	if x.held == nil {
 		return
 	}
-	a := charge.Answer{Status: response.StatusCode, Header: link.EndToEnd(response.Header), Whole: whole}
+	a := charge.Answer{Status: response.StatusCode, Header: link.EndToEndHeaders(response.Header), Whole: whole}
 	a.Header.Del(lovageyard.LoadHeader)
 	if whole {
 		a.Body = body
--- a/caller/forward.go
+++ b/caller/forward.go
@@ -109,7 +109,7 @@
 	if !x.claim() {
 		return
 	}
-	x.work.Budget.Earn()
+	x.work.Budget.Deposit()
 	for x.attempt = 1; ; x.attempt++ {
 		failure := x.try()
 		if failure == nil {
@@ -151,7 +151,7 @@
 	if !x.body.whole() {
 		return false
 	}
-	return x.work.Budget.Spend()
+	return x.work.Budget.Withdraw()
 }
 
 // try makes one attempt; nil means that the caller has its answer.
@@ -214,7 +214,7 @@
 	if err != nil {
 		x.release(started, lovageyard.Answer{Failed: true})
 		if x.isServersFault(ctx, started) {
-			x.choice.Pool.Suspect(x.slot.Server.Name)
+			x.choice.Pool.MarkUnreachable(x.slot.Server.Name)
 		}
 		return x.failed(err)
 	}
@@ -287,7 +287,7 @@
 func (x *exchange) outgoing(ctx context.Context) *http.Request {
 	out := x.request.Clone(ctx)
 	out.RequestURI = ""
-	out.Header = link.EndToEnd(x.request.Header)
+	out.Header = link.EndToEndHeaders(x.request.Header)
 	out.Header.Del("Expect")
 	addForwardedFor(out.Header, x.request)
 	if out.Header.Get("User-Agent") == "" {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -446,8 +446,8 @@
 	y.put("lookups", 0.5)
 	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
 	for _, name := range everyone {
-		y.controls[name].Snapshot().Work("lookups").Sites[2].Pool.Suspect("b1-desk")
-		y.controls[name].Snapshot().Work("lookups").Sites[0].Pool.Suspect(name[:2] + "-desk")
+		y.controls[name].Snapshot().Work("lookups").Sites[2].Pool.MarkUnreachable("b1-desk")
+		y.controls[name].Snapshot().Work("lookups").Sites[0].Pool.MarkUnreachable(name[:2] + "-desk")
 	}
 	y.until("probes lift the suspicion", func() bool {
 		for _, name := range everyone {
--- a/control/grants.go
+++ b/control/grants.go
@@ -20,7 +20,7 @@
 
 func (c *Control) grantInput(v *view, service string) grantInput {
 	typical := v.typicalService(service)
-	var spares []grant.Spare
+	var spares []grant.ServiceLoad
 	for _, key := range c.sortedPools() {
 		if key.service == service {
 			spares = append(spares, c.spare(v, key, typical))
@@ -41,13 +41,13 @@
 }
 
 // spare returns what one service of a site can carry beyond its planned load.
-func (c *Control) spare(v *view, key poolKey, typical float64) grant.Spare {
+func (c *Control) spare(v *view, key poolKey, typical float64) grant.ServiceLoad {
 	p := c.pools[key]
 	service := v.service(key, typical)
-	s := grant.Spare{
-		Service: key.service,
-		Site:    key.site,
-		Known:   v.age(key) < placement.FreshFor && service > 0 && v.alive(key, p),
+	s := grant.ServiceLoad{
+		Service:  key.service,
+		Site:     key.site,
+		Measured: v.age(key) < placement.FreshFor && service > 0 && v.alive(key, p),
 	}
 	if service > 0 {
 		s.Capacity = float64(v.slots(key, p)) / service * (1 - c.settings.Headroom)
--- a/control/pools.go
+++ b/control/pools.go
@@ -28,7 +28,7 @@
 	failureDomain string
 	region        string
 	servers       []lovageyard.BackendServer
-	allowance     *grant.Allowance
+	allowance     *grant.TokenBucket
 	answers       uint64
 	measured      time.Time
 	rate          float64
@@ -80,7 +80,7 @@
 	if p == nil {
 		p = &pool{
 			Pool:      server.NewPool(c.settings.Pool, c.random.Uint64()),
-			allowance: grant.NewAllowance(0, now),
+			allowance: grant.NewTokenBucket(0, now),
 		}
 		c.pools[k] = p
 	}
@@ -91,7 +91,7 @@
 	for _, b := range servers {
 		mark, found := c.marks[poolServer{poolKey: k, server: b.Name}]
 		if found {
-			p.Mark(b.Name, mark)
+			p.SetState(b.Name, mark)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 		if p.failureDomain != c.self.FailureDomain {
 			sharers++
 		}
-		p.SetSharers(sharers)
+		p.SetInstances(sharers)
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 	c.marks[m.poolServer] = m.state
 	if p := c.pools[m.poolKey]; p != nil {
-		p.Mark(m.server, m.state)
+		p.SetState(m.server, m.state)
 	}
 	c.settings.Recorder.Record(lovageyard.Decision{
 		Kind:   "server",
@@ -155,7 +155,7 @@
 		if p.failureDomain != c.self.FailureDomain && !elsewhere {
 			continue
 		}
-		census := p.Census(now)
+		census := p.Stats(now)
 		for _, b := range slices.Concat(census.Suspects, census.Leaving) {
 			if b.State == lovageyard.StateLive {
 				c.probeServer(k, b)
@@ -182,7 +182,7 @@
 		return
 	}
 	if p := c.pools[m.poolKey]; p != nil {
-		p.Heard(m.server, m.report, c.settings.Timer.Now())
+		p.ObserveReport(m.server, m.report, c.settings.Timer.Now())
 	}
 	if !m.report.Leaving && c.marks[m.poolServer] == lovageyard.StateLeaving {
 		serverMarked{poolServer: m.poolServer, state: lovageyard.StateLive}.Apply(c)
--- a/control/report.go
+++ b/control/report.go
@@ -123,7 +123,7 @@
 
 // report tells what this instance knows of a pool.
 func (p *pool) report(k poolKey, now time.Time) *wire.SiteReport {
-	census := p.Census(now)
+	census := p.Stats(now)
 	passed := now.Sub(p.measured).Seconds()
 	if passed > 0 {
 		p.rate = float64(census.Answers-p.answers) / passed
@@ -134,8 +134,8 @@
 		Service:     k.service,
 		Site:        k.site,
 		Load:        p.rate,
-		Alive:       census.Takers > 0,
-		MeanSeconds: census.Service.Seconds(),
+		Alive:       census.Available > 0,
+		MeanSeconds: census.ServiceTime.Seconds(),
 	}
 }
 
--- a/control/status.go
+++ b/control/status.go
@@ -73,12 +73,12 @@
 		}
 	}
 	for _, k := range c.sortedPools() {
-		census := c.pools[k].Census(now)
+		census := c.pools[k].Stats(now)
 		s.Pools = append(s.Pools, operator.PoolStatus{
 			Service:  k.service,
 			Site:     k.site,
 			Servers:  census.Servers,
-			Takers:   census.Takers,
+			Takers:   census.Available,
 			Slots:    census.Slots,
 			InFlight: census.InFlight,
 			Queued:   census.Queued,
--- a/control/works.go
+++ b/control/works.go
@@ -23,7 +23,7 @@
 	planSeen time.Time
 	stepper  *move.Stepper
 	forced   *move.Gate
-	budget   *server.Budget
+	budget   *server.RetryBudget
 	counts   []*route.HomeCount
 	rates    []*homeRate
 	measured time.Time
@@ -74,7 +74,7 @@
 	if w == nil {
 		w = &work{
 			stepper:  move.NewStepper(k.Target),
-			budget:   server.NewBudget(),
+			budget:   server.NewRetryBudget(),
 			measured: c.settings.Timer.Now(),
 		}
 		w.addHome(c.self.FailureDomain)
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -25,7 +25,7 @@
 	}
 	table := dispatch.NewTable(dispatch.Settings{
 		Self: "entry", FailureDomain: "east-1", Region: "east",
-		Bounds: dispatch.Bounds{Shift: dispatch.ShiftBound{Largest: 0.15, Window: 2 * time.Second}},
+		Bounds: dispatch.Bounds{Shift: dispatch.ShiftBound{MaxChange: 0.15, Window: 2 * time.Second}},
 	})
 	table.SetCatalog(view, time.Unix(1000, 0))
 	route := &view.Configuration.Routes[0]
--- a/dispatch/bounds_test.go
+++ b/dispatch/bounds_test.go
@@ -99,9 +99,9 @@
 // tenth of that.
 func TestShareMovesInProportionToTheBound(t *testing.T) {
 	for _, bound := range []ShiftBound{
-		{Largest: 0.05, Window: 2 * time.Second},
-		{Largest: 0.15, Window: 2 * time.Second},
-		{Largest: 0.3, Window: 5 * time.Second},
+		{MaxChange: 0.05, Window: 2 * time.Second},
+		{MaxChange: 0.15, Window: 2 * time.Second},
+		{MaxChange: 0.3, Window: 5 * time.Second},
 	} {
 		t.Run(fmt.Sprint(bound), func(t *testing.T) {
 			c := qt.New(t)
@@ -116,10 +116,10 @@
 			}
 			s.wish(false, bound, start)
 			left := move(true, start)
-			c.Assert(left <= 0.4*bound.Largest+1e-9, qt.IsTrue, qt.Commentf("%f", left))
-			c.Assert(left >= 0.3*bound.Largest, qt.IsTrue, qt.Commentf("%f", left))
+			c.Assert(left <= 0.4*bound.MaxChange+1e-9, qt.IsTrue, qt.Commentf("%f", left))
+			c.Assert(left >= 0.3*bound.MaxChange, qt.IsTrue, qt.Commentf("%f", left))
 			returned := -move(false, start.Add(bound.Window))
-			c.Assert(returned <= 0.04*bound.Largest+1e-9, qt.IsTrue, qt.Commentf("%f", returned))
+			c.Assert(returned <= 0.04*bound.MaxChange+1e-9, qt.IsTrue, qt.Commentf("%f", returned))
 		})
 	}
 }
--- a/dispatch/census.go
+++ b/dispatch/census.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Census counts what the table holds, for metrics.
-type Census struct {
+// Stats counts what the table holds, for metrics.
+type Stats struct {
 	Servers  int
 	Suspects int
 	InFlight int
@@ -14,17 +14,17 @@
 	// BackingOff counts those that want nothing from this instance for now.
 	BackingOff int
 	// Elsewhere is, for each service, the share of the region's requests that runs in other regions.
-	Elsewhere map[string]float64
+	RemoteShares map[string]float64
 }
 
-// Census returns the counts at a time.
-func (t *Table) Census(now time.Time) Census {
+// Stats returns the counts at a time.
+func (t *Table) Stats(now time.Time) Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := Census{Elsewhere: make(map[string]float64)}
+	c := Stats{RemoteShares: make(map[string]float64)}
 	for name, s := range t.services {
 		if s.spill != nil {
-			c.Elsewhere[name] = s.spill.share
+			c.RemoteShares[name] = s.spill.share
 		}
 	}
 	for _, one := range t.servers {
@@ -38,7 +38,7 @@
 		}
 		if one.record.Leaving() {
 			c.Leaving++
-		} else if one.record.Refuses(now) {
+		} else if one.record.Rejects(now) {
 			c.BackingOff++
 		}
 	}
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -55,8 +55,8 @@
 // object returns what the request's server is chosen by, or 0 if any server is as good.
 func (r Request) object() uint64 {
 	switch {
-	case r.Apart != 0:
-		return r.Apart
+	case r.HashOverride != 0:
+		return r.HashOverride
 	case r.Route.Sticky:
 		return objectOf(r.Route, r.Key)
 	}
@@ -108,7 +108,7 @@
 	}
 	one.inFlight++
 	t.reachOf(one.FailureDomain).inFlight++
-	one.record.Take(r.Now)
+	one.record.RecordSend(r.Now)
 	cold := r.Now.Before(one.ColdUntil)
 	if cold {
 		one.cold.note(r.Now)
--- a/dispatch/choose_test.go
+++ b/dispatch/choose_test.go
@@ -30,7 +30,7 @@
 		Bounds: dispatch.Bounds{
 			Retries: dispatch.RetryBound{Ratio: 0.2, Window: 10 * time.Second, Slack: 10},
 			Cold:    dispatch.ColdBound{Excess: 1, Slack: 0},
-			Shift:   dispatch.ShiftBound{Largest: 0.15, Window: 2 * time.Second},
+			Shift:   dispatch.ShiftBound{MaxChange: 0.15, Window: 2 * time.Second},
 		},
 	})
 	y.view = &catalog.Snapshot{
@@ -210,7 +210,7 @@
 	y.view.Configuration.Routes[0].Goal = goal
 	y.table = dispatch.NewTable(dispatch.Settings{
 		Self: "entry", FailureDomain: "east-1", Region: "east",
-		Bounds: dispatch.Bounds{Shift: dispatch.ShiftBound{Largest: 0.15, Window: 2 * time.Second}},
+		Bounds: dispatch.Bounds{Shift: dispatch.ShiftBound{MaxChange: 0.15, Window: 2 * time.Second}},
 	})
 	y.table.SetCatalog(y.view, y.now)
 	ask := func(key string) dispatch.Choice {
@@ -312,7 +312,7 @@
 	for range 10 {
 		refused := choice.Server.Name == home.Server.Name
 		y.done(choice, dispatch.Outcome{Answered: true, Failed: refused, NotRun: refused})
-		y.c.Assert(y.table.Census(y.now).Suspects, qt.Equals, 0)
+		y.c.Assert(y.table.Stats(y.now).Suspects, qt.Equals, 0)
 		y.now = y.now.Add(50 * time.Millisecond)
 		choice = y.choose("k")
 		y.c.Assert(choice.Server.Region, qt.Equals, home.Server.Region)
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -370,10 +370,10 @@
 	for i := range len(regions) * m.instances {
 		region := regions[i/m.instances]
 		table := dispatch.NewTable(dispatch.Settings{
-			Self: fmt.Sprint(i), FailureDomain: region + "-1", Region: region, Seed: uint64(i), Demand: m.demand,
+			Self: fmt.Sprint(i), FailureDomain: region + "-1", Region: region, Seed: uint64(i), DemandShare: m.demand,
 			Bounds: dispatch.Bounds{
 				Retries: dispatch.RetryBound{Window: 10 * time.Second},
-				Shift:   dispatch.ShiftBound{Largest: 0.15, Window: 2 * time.Second},
+				Shift:   dispatch.ShiftBound{MaxChange: 0.15, Window: 2 * time.Second},
 			},
 		})
 		table.SetCatalog(view, start)
--- a/dispatch/notice.go
+++ b/dispatch/notice.go
@@ -52,9 +52,9 @@
 	return kept.record
 }
 
-// Hear takes in what an answer of a server asks for; its request was sent at a time. It says what that has
+// Observe takes in what an answer of a server asks for; its request was sent at a time. It says what that has
 // changed.
-func (t *Table) Hear(s lovageyard.BackendServer, n lovageyard.Notice, sentAt, now time.Time) backpressure.Change {
+func (t *Table) Observe(s lovageyard.BackendServer, n lovageyard.Notice, sentAt, now time.Time) backpressure.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kept := t.notices[lifeOf(s)]
@@ -65,7 +65,7 @@
 		kept = t.keep(s, now)
 	}
 	kept.heardAt = now
-	return kept.record.Hear(n, sentAt, now)
+	return kept.record.Observe(n, sentAt, now)
 }
 
 // keep keeps the record of a server from now on.
@@ -97,15 +97,15 @@
 	}
 }
 
-// MaySendAgain says whether the server of a choice may get the request once more, and takes that from what it
+// TakeResend says whether the server of a choice may get the request once more, and takes that from what it
 // allows.
-func (t *Table) MaySendAgain(c Choice, now time.Time) bool {
+func (t *Table) TakeResend(c Choice, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !c.server.record.Allows(now) {
 		return false
 	}
-	c.server.record.Take(now)
+	c.server.record.RecordSend(now)
 	return true
 }
 
@@ -113,7 +113,7 @@
 func (t *Table) MaySend(c Choice, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !c.server.record.Refuses(now)
+	return !c.server.record.Rejects(now)
 }
 
 // heldBackUntil returns when a server takes the request that could run it but for what it has asked for, if there is
@@ -125,7 +125,7 @@
 		if !t.couldRun(r, s, one) || one.record.Allows(r.Now) {
 			continue
 		}
-		if until, ever := one.record.Until(r.Now); ever && (!found || until.Before(earliest)) {
+		if until, ever := one.record.EarliestSend(r.Now); ever && (!found || until.Before(earliest)) {
 			earliest, found = until, true
 		}
 	}
--- a/dispatch/notice_test.go
+++ b/dispatch/notice_test.go
@@ -14,7 +14,7 @@
 
 // hear has an answer of a server ask for something.
 func (y *yard) hear(server string, n lovageyard.Notice) {
-	y.table.Hear(y.listed(server).BackendServer, n, y.now, y.now)
+	y.table.Observe(y.listed(server).BackendServer, n, y.now, y.now)
 }
 
 func (y *yard) listed(server string) *catalog.Server {
@@ -41,7 +41,7 @@
 			continue
 		}
 		counts[choice.Server.Name]++
-		y.table.Hear(choice.Server, notice[choice.Server.Name], y.now, y.now)
+		y.table.Observe(choice.Server, notice[choice.Server.Name], y.now, y.now)
 		y.done(choice, dispatch.Outcome{Answered: true})
 	}
 	return counts
@@ -71,12 +71,12 @@
 	y.now = y.now.Add(2 * time.Second)
 	choice := y.choose("", "east-1")
 	y.c.Assert(choice.Refused, qt.IsFalse)
-	y.c.Assert(y.table.MaySendAgain(choice, y.now), qt.IsFalse)
+	y.c.Assert(y.table.TakeResend(choice, y.now), qt.IsFalse)
 	repeat := y.choose("", "east-1")
 	y.c.Assert(repeat.Refused, qt.IsTrue)
 	y.c.Assert(repeat.Cause, qt.Equals, dispatch.CauseBackpressure)
 	other := y.choose("", "east-0")
-	y.c.Assert(y.table.MaySendAgain(other, y.now), qt.IsTrue)
+	y.c.Assert(y.table.TakeResend(other, y.now), qt.IsTrue)
 }
 
 // Where all servers have asked for less, a request is refused at once, and told when one of them takes it.
@@ -108,7 +108,7 @@
 	// Late word of the life before is none of this one.
 	earlier := all[0].BackendServer
 	earlier.Life = 0
-	y.table.Hear(earlier, lovageyard.Notice{Limited: true, Limit: 0.01}, y.now, y.now)
+	y.table.Observe(earlier, lovageyard.Notice{Limited: true, Limit: 0.01}, y.now, y.now)
 	y.c.Assert(y.choose("", "east-1").Refused, qt.IsFalse)
 }
 
@@ -118,7 +118,7 @@
 	all := y.view.Servers
 	y.view.Servers = all[1:2]
 	y.table.SetCatalog(y.view, y.now)
-	y.table.Hear(all[0].BackendServer, lovageyard.Notice{Limited: true, Limit: 0.01}, y.now, y.now)
+	y.table.Observe(all[0].BackendServer, lovageyard.Notice{Limited: true, Limit: 0.01}, y.now, y.now)
 	y.view.Servers = all[:2]
 	y.table.SetCatalog(y.view, y.now)
 	y.c.Assert(y.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
@@ -136,7 +136,7 @@
 			y.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
 			y.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 500)
 			y.hear(inFlight.Server.Name, lovageyard.Notice{Leaving: true})
-			y.c.Assert(y.table.MaySendAgain(inFlight, y.now), qt.IsFalse)
+			y.c.Assert(y.table.TakeResend(inFlight, y.now), qt.IsFalse)
 			for _, s := range y.view.Servers {
 				y.hear(s.Name, lovageyard.Notice{Leaving: true})
 			}
@@ -203,7 +203,7 @@
 	y.c.Assert(y.table.MaySend(choice, y.now), qt.IsTrue)
 	y.hear(choice.Server.Name, lovageyard.Notice{Backoff: time.Second})
 	y.c.Assert(y.table.MaySend(choice, y.now), qt.IsFalse)
-	y.c.Assert(y.table.MaySendAgain(choice, y.now), qt.IsFalse)
+	y.c.Assert(y.table.TakeResend(choice, y.now), qt.IsFalse)
 	y.c.Assert(y.table.MaySend(choice, y.now.Add(time.Second)), qt.IsTrue)
 }
 
--- a/dispatch/region.go
+++ b/dispatch/region.go
@@ -64,7 +64,7 @@
 			here += one.slots
 		}
 	}
-	first := firstSpill(here, all, t.settings.Demand)
+	first := firstSpill(here, all, t.settings.DemandShare)
 	return &first
 }
 
--- a/dispatch/spill.go
+++ b/dispatch/spill.go
@@ -21,8 +21,8 @@
 // ShiftBound is the largest share of a region's requests that may change the region in which
 // they run from one window to the next; Window is above 0.
 type ShiftBound struct {
-	Largest float64
-	Window  time.Duration
+	MaxChange float64
+	Window    time.Duration
 }
 
 // spill paces how much of a service's work leaves the region.
@@ -53,7 +53,7 @@
 		s.at = now
 	}
 	s.wanted += wishWeight * (sample - s.wanted)
-	step := bound.Largest * now.Sub(s.at).Seconds() / bound.Window.Seconds()
+	step := bound.MaxChange * now.Sub(s.at).Seconds() / bound.Window.Seconds()
 	s.at = now
 	s.share += min(leavePart*step, max(-returnPart*step, s.wanted-s.share))
 }
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -20,8 +20,8 @@
 	FailureDomain string
 	Region        string
 	// Demand is the share of all clients' requests that come from the region, if known.
-	Demand float64
-	Seed   uint64
+	DemandShare float64
+	Seed        uint64
 	Bounds
 }
 
@@ -36,7 +36,7 @@
 	// Deadline is when a server has to be done.
 	Deadline time.Time
 	// Apart stands in for the object, if it is not 0, so that the request goes its own way.
-	Apart uint64
+	HashOverride uint64
 	// Rank orders requests under overload; 0 is served first.
 	Rank int
 	// Regions are the only ones that may run the request; empty means all.
@@ -243,8 +243,8 @@
 	known.Server = listed
 }
 
-// Arrive notes a client's request and returns the service that it belongs to.
-func (t *Table) Arrive(route *lovageyard.Route, now time.Time) string {
+// AssignService notes a client's request and returns the service that it belongs to.
+func (t *Table) AssignService(route *lovageyard.Route, now time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	split := t.splits[route.Name]
@@ -258,8 +258,8 @@
 	return name
 }
 
-// MayRepeat says whether the budget allows another attempt at a service, and spends it.
-func (t *Table) MayRepeat(name string, now time.Time) bool {
+// TakeRetry says whether the budget allows another attempt at a service, and spends it.
+func (t *Table) TakeRetry(name string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -50,7 +50,7 @@
 // pass gives the client the server's whole answer.
 func (x *exchange) pass(a *attempt) {
 	h := x.writer.Header()
-	for name, values := range link.EndToEnd(a.answer.Header) {
+	for name, values := range link.EndToEndHeaders(a.answer.Header) {
 		h[name] = values
 	}
 	if _, found := h["Content-Type"]; !found {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -13,7 +13,7 @@
 // attempt is one try at a backend server.
 type attempt struct {
 	choice dispatch.Choice
-	answer *link.Answer
+	answer *link.Response
 	err    *lovageyard.RequestError
 	sentAt time.Time
 	took   time.Duration
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -29,7 +29,7 @@
 
 // step is what a backend server does with one attempt.
 type step struct {
-	answer *link.Answer
+	answer *link.Response
 	err    error
 	// hang waits for the end of the attempt's context.
 	hang bool
@@ -48,7 +48,7 @@
 	before func()
 }
 
-func (s *sender) Send(ctx context.Context, r link.Request) (*link.Answer, error) {
+func (s *sender) Send(ctx context.Context, r link.Request) (*link.Response, error) {
 	s.sent = append(s.sent, r)
 	if s.before != nil {
 		s.before()
@@ -66,7 +66,7 @@
 		return nil, lovageyard.MayHaveRun("hung", ctx.Err())
 	}
 	if s.observer != nil && next.answer != nil {
-		s.observer.Hear(lovageyard.BackendServer{Name: r.Server, Life: r.Life}, next.answer.Meta.Notice, time.Now())
+		s.observer.Observe(lovageyard.BackendServer{Name: r.Server, Life: r.Incarnation}, next.answer.Meta.Notice, time.Now())
 	}
 	return next.answer, next.err
 }
@@ -239,14 +239,14 @@
 }
 
 func good(status int) step {
-	return step{answer: &link.Answer{
+	return step{answer: &link.Response{
 		Status: status, Header: http.Header{"Proof": {"s"}, "Connection": {"close"}}, Body: []byte("whole"),
 		Meta: lovageyard.AnswerMeta{ID: "id-1", Sealed: true},
 	}}
 }
 
 func notRun(status int) step {
-	return step{answer: &link.Answer{
+	return step{answer: &link.Response{
 		Status: status, Header: http.Header{},
 		Meta: lovageyard.AnswerMeta{NotRun: true, Misdirected: status == http.StatusMisdirectedRequest},
 	}}
@@ -259,7 +259,7 @@
 }
 
 var (
-	unsealed = step{answer: &link.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("spoiled")}}
+	unsealed = step{answer: &link.Response{Status: http.StatusOK, Header: http.Header{}, Body: []byte("spoiled")}}
 	lost     = step{err: lovageyard.MayHaveRun("the connection ended", nil)}
 	unsent   = step{err: lovageyard.NotRun("not reached", nil)}
 )
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -37,7 +37,7 @@
 func (x *exchange) run() {
 	ctx, cancel := x.context()
 	defer cancel()
-	x.service = x.handler.Dispatch.Arrive(x.route, x.handler.Timer.Now())
+	x.service = x.handler.Dispatch.AssignService(x.route, x.handler.Timer.Now())
 	choice := x.choose()
 	if choice.Refused {
 		x.refuse(choice.Cause, choice.Reason, choice.RetryAfter, nil)
@@ -80,7 +80,7 @@
 
 // spendRepeat takes one repeat from the budget that all instances share, if it has room.
 func (x *exchange) spendRepeat() bool {
-	if x.handler.Dispatch.MayRepeat(x.service, x.handler.Timer.Now()) {
+	if x.handler.Dispatch.TakeRetry(x.service, x.handler.Timer.Now()) {
 		x.handler.Metrics.Count(meter.Repeats, x.label())
 		return true
 	}
@@ -112,7 +112,7 @@
 	if x.broken > 0 || x.judge().Suspect {
 		// Requests that fell with one server, often of one object, part here: together they would
 		// fall with the next one too, and nobody could tell which of them is the cause.
-		r.Apart = x.fingerprint
+		r.HashOverride = x.fingerprint
 	}
 	return x.handler.Dispatch.Choose(r)
 }
@@ -170,11 +170,11 @@
 // mayResend says whether a request may be sent to the server of a choice once more, and takes that from the budget and
 // from what the server allows.
 func (x *exchange) mayResend(choice dispatch.Choice) bool {
-	return x.handler.Dispatch.MaySendAgain(choice, x.handler.Timer.Now()) && x.spendRepeat()
+	return x.handler.Dispatch.TakeResend(choice, x.handler.Timer.Now()) && x.spendRepeat()
 }
 
 func (x *exchange) outgoing(choice dispatch.Choice, now time.Time) link.Request {
-	header := link.EndToEnd(x.request.Header)
+	header := link.EndToEndHeaders(x.request.Header)
 	x.handler.Codec.Outgoing(header, lovageyard.Forwarding{
 		Left:       x.deadline.Sub(now),
 		Server:     choice.Server.Name,
@@ -192,7 +192,7 @@
 		MaySend:       func() bool { return x.handler.Dispatch.MaySend(choice, x.handler.Timer.Now()) },
 		MayResend:     func() bool { return x.mayResend(choice) },
 		Server:        choice.Server.Name,
-		Life:          choice.Server.Life,
+		Incarnation:   choice.Server.Life,
 		ServerAddress: choice.Server.Address,
 	}
 }
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -42,7 +42,7 @@
 
 // Sender makes one attempt at a backend server; a failure is a *lovageyard.RequestError.
 type Sender interface {
-	Send(ctx context.Context, r link.Request) (*link.Answer, error)
+	Send(ctx context.Context, r link.Request) (*link.Response, error)
 	Forget(server string)
 }
 
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -16,9 +16,9 @@
 	Logger   *logrus.Logger
 }
 
-// Hear takes in the notice of an answer; its request was sent at a time.
-func (o *Notices) Hear(s lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time) {
-	change := o.Dispatch.Hear(s, n, sentAt, o.Timer.Now())
+// Observe takes in the notice of an answer; its request was sent at a time.
+func (o *Notices) Observe(s lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time) {
+	change := o.Dispatch.Observe(s, n, sentAt, o.Timer.Now())
 	log := o.Logger.WithField("server", s.Name)
 	if change.Leaving {
 		log.Info("a server says that it leaves")
--- a/grant/allowance.go
+++ b/grant/allowance.go
@@ -9,21 +9,21 @@
 // burstTime is the span whose grant an Allowance may spend at once.
 const burstTime = 250 * time.Millisecond
 
-// Allowance spends one grant as time passes.
-type Allowance struct {
+// TokenBucket spends one grant as time passes.
+type TokenBucket struct {
 	mu     sync.Mutex
 	rate   float64
 	tokens float64
 	at     time.Time
 }
 
-// NewAllowance returns an allowance of a rate in requests a second, with nothing saved up.
-func NewAllowance(rate float64, now time.Time) *Allowance {
-	return &Allowance{rate: rate, at: now}
+// NewTokenBucket returns an allowance of a rate in requests a second, with nothing saved up.
+func NewTokenBucket(rate float64, now time.Time) *TokenBucket {
+	return &TokenBucket{rate: rate, at: now}
 }
 
 // SetRate changes the rate.
-func (a *Allowance) SetRate(rate float64, now time.Time) {
+func (a *TokenBucket) SetRate(rate float64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refill(now)
@@ -31,7 +31,7 @@
 }
 
 // Take says whether the grant allows one more request now.
-func (a *Allowance) Take(now time.Time) bool {
+func (a *TokenBucket) Take(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refill(now)
@@ -44,7 +44,7 @@
 
 // Wait returns how long it is until the grant allows a request; an empty grant allows none in the longest time
 // that there is.
-func (a *Allowance) Wait(now time.Time) time.Duration {
+func (a *TokenBucket) Wait(now time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refill(now)
@@ -58,7 +58,7 @@
 	return time.Duration((1-a.tokens)/a.rate*float64(time.Second)) + time.Microsecond
 }
 
-func (a *Allowance) refill(now time.Time) {
+func (a *TokenBucket) refill(now time.Time) {
 	passed := now.Sub(a.at)
 	if passed <= 0 {
 		return
--- a/grant/divide.go
+++ b/grant/divide.go
@@ -7,19 +7,19 @@
 	"lovageyard.example/lovageyard/instance"
 )
 
-// Spare is what one service of a site can carry beyond its present load.
-type Spare struct {
+// ServiceLoad is what one service of a site can carry beyond its present load.
+type ServiceLoad struct {
 	Service string
 	Site    string
 	// Capacity and Load are in requests a second.
 	Capacity float64
 	Load     float64
-	// Known says that the load was measured recently; an unknown one spares nothing.
-	Known bool
+	// Measured says that the load was measured recently; an unknown one spares nothing.
+	Measured bool
 }
 
 // Divide returns equal grants for the holders, whose sum is at most the spare capacity.
-func Divide(spares []Spare, holders []string) lovageyard.GrantPlan {
+func Divide(spares []ServiceLoad, holders []string) lovageyard.GrantPlan {
 	p := lovageyard.GrantPlan{Holders: slices.Clone(holders)}
 	slices.Sort(p.Holders)
 	if len(holders) == 0 {
@@ -27,7 +27,7 @@
 	}
 	for _, s := range spares {
 		spare := s.Capacity - s.Load
-		if !s.Known || spare <= 0 {
+		if !s.Measured || spare <= 0 {
 			continue
 		}
 		p.Grants = append(p.Grants, lovageyard.Grant{
@@ -70,10 +70,10 @@
 	return false
 }
 
-// Part returns what one of those who share a rate by a key may send, in requests a second. The rate is divided
+// ShareOf returns what one of those who share a rate by a key may send, in requests a second. The rate is divided
 // among a few holders, on which all agree: no holder's part is far below one request a second, as smaller parts would be
 // saved up and spent by many in the same second. Who is no holder gets nothing.
-func Part(rate float64, names []string, key, self string) float64 {
+func ShareOf(rate float64, names []string, key, self string) float64 {
 	count := min(len(names), 1+int(min(rate, float64(len(names)))))
 	if place := instance.Place(names, key, self); place < 0 || place >= count {
 		return 0
--- a/grant/grant_test.go
+++ b/grant/grant_test.go
@@ -11,9 +11,9 @@
 func TestDivideNeverGrantsMoreThanTheSpare(t *testing.T) {
 	c := qt.New(t)
 	holders := []string{"c", "a", "b"}
-	p := Divide([]Spare{
-		{Service: "desk", Site: "one", Capacity: 100, Load: 40, Known: true},
-		{Service: "desk", Site: "full", Capacity: 100, Load: 120, Known: true},
+	p := Divide([]ServiceLoad{
+		{Service: "desk", Site: "one", Capacity: 100, Load: 40, Measured: true},
+		{Service: "desk", Site: "full", Capacity: 100, Load: 120, Measured: true},
 		{Service: "desk", Site: "unknown", Capacity: 100},
 	}, holders)
 	for _, test := range []struct {
@@ -29,7 +29,7 @@
 	c.Assert(Rate(p, "stranger", "desk", "one"), qt.Equals, 0.0)
 	c.Assert(Differs(p, p, 0.1), qt.IsFalse)
 	c.Assert(Differs(p, Divide(nil, holders), 0.1), qt.IsTrue)
-	c.Assert(Differs(p, Divide([]Spare{{Service: "desk", Site: "one", Capacity: 100, Load: 50, Known: true}}, holders), 0.1), qt.IsTrue)
+	c.Assert(Differs(p, Divide([]ServiceLoad{{Service: "desk", Site: "one", Capacity: 100, Load: 50, Measured: true}}, holders), 0.1), qt.IsTrue)
 	c.Assert(Divide(nil, nil).Grants, qt.HasLen, 0)
 }
 
@@ -44,12 +44,12 @@
 			}
 			sum := 0.0
 			for _, name := range names {
-				part := Part(rate, names, "server", name)
+				part := ShareOf(rate, names, "server", name)
 				sum += part
 				c.Check(part == 0 || part >= min(rate, 0.5) || part >= rate/float64(count), qt.IsTrue, qt.Commentf("%v", part))
 			}
 			c.Check(sum <= rate*(1+1e-9) && sum >= rate*(1-1e-9), qt.IsTrue, qt.Commentf("%v of %v", sum, rate))
-			c.Check(Part(rate, names, "server", "stranger"), qt.Equals, 0.0)
+			c.Check(ShareOf(rate, names, "server", "stranger"), qt.Equals, 0.0)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 func TestAllowanceTellsWhenItAllows(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	a := NewAllowance(0.7, now)
+	a := NewTokenBucket(0.7, now)
 	for range 10 {
 		wait := a.Wait(now)
 		c.Assert(wait > 0, qt.IsTrue)
@@ -73,7 +73,7 @@
 	for _, rate := range []float64{0, 0.5, 3, 1000} {
 		c := qt.New(t)
 		now := time.Unix(1000, 0)
-		a := NewAllowance(rate, now)
+		a := NewTokenBucket(rate, now)
 		taken := 0
 		const seconds = 60
 		for range seconds * 100 {
--- a/link/exchange.go
+++ b/link/exchange.go
@@ -17,7 +17,7 @@
 var errClosed = errors.New("the connection was closed before an answer")
 
 // exchange sends the request on a connection and reads the whole answer.
-func (l *Link) exchange(ctx context.Context, c *conn, r Request) (*Answer, error) {
+func (l *Transport) exchange(ctx context.Context, c *conn, r Request) (*Response, error) {
 	before := c.writes.Load()
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
 	answer, reusable, err := l.converse(c, r)
@@ -52,7 +52,7 @@
 
 // converse writes the request and reads answers until the one that belongs to it; it
 // says whether the connection may carry another request.
-func (l *Link) converse(c *conn, r Request) (*Answer, bool, error) {
+func (l *Transport) converse(c *conn, r Request) (*Response, bool, error) {
 	request := outgoing(r)
 	sentAt := l.timer.Now()
 	written := startWriting(c, request, len(r.Body))
@@ -91,7 +91,7 @@
 }
 
 // readAnswer reads answers until the one that belongs to the request.
-func (l *Link) readAnswer(c *conn, request *http.Request, r Request, sentAt time.Time) (*Answer, bool, error) {
+func (l *Transport) readAnswer(c *conn, request *http.Request, r Request, sentAt time.Time) (*Response, bool, error) {
 	if err := c.awaitAnswer(); err != nil {
 		return nil, false, err
 	}
@@ -134,7 +134,7 @@
 }
 
 // whole reads an answer to its end; one that breaks off is an error.
-func whole(response *http.Response, meta lovageyard.AnswerMeta) (*Answer, error) {
+func whole(response *http.Response, meta lovageyard.AnswerMeta) (*Response, error) {
 	defer response.Body.Close()
 	var body bytes.Buffer
 	if n := response.ContentLength; n > 0 && n <= maxGrow {
@@ -145,7 +145,7 @@
 	} else if n == maxWhole {
 		return nil, errors.New("the answer is too long to be held")
 	}
-	return &Answer{
+	return &Response{
 		Status: response.StatusCode,
 		Header: response.Header,
 		Body:   body.Bytes(),
--- a/link/header.go
+++ b/link/header.go
@@ -19,8 +19,8 @@
 	"Upgrade",
 }
 
-// EndToEnd returns a copy of the headers without those that concern one connection.
-func EndToEnd(h http.Header) http.Header {
+// EndToEndHeaders returns a copy of the headers without those that concern one connection.
+func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/link/idle.go
+++ b/link/idle.go
@@ -6,7 +6,7 @@
 )
 
 // take returns an idle connection to a server, or nil.
-func (l *Link) take(p peer, idempotent bool) *conn {
+func (l *Transport) take(p peer, idempotent bool) *conn {
 	limit := longestIdle
 	if !idempotent {
 		limit = unsafeIdle
@@ -24,7 +24,7 @@
 	}
 }
 
-func (l *Link) pop(p peer) *conn {
+func (l *Transport) pop(p peer) *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list := l.idle[p]
@@ -38,7 +38,7 @@
 }
 
 // give keeps a connection whose answer has ended for reuse.
-func (l *Link) give(c *conn, p peer, header http.Header) {
+func (l *Transport) give(c *conn, p peer, header http.Header) {
 	c.keep(header, l.timer.Now())
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 }
 
 // Forget closes the idle connections to a server.
-func (l *Link) Forget(server string) {
+func (l *Transport) Forget(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p, list := range l.idle {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Expire closes connections that have been idle for too long to be reused.
-func (l *Link) Expire(now time.Time) {
+// CloseExpired closes connections that have been idle for too long to be reused.
+func (l *Transport) CloseExpired(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p, list := range l.idle {
@@ -85,7 +85,7 @@
 }
 
 // Close closes the idle connections; those in use close when their answer ends.
-func (l *Link) Close() {
+func (l *Transport) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
--- a/link/link.go
+++ b/link/link.go
@@ -47,8 +47,8 @@
 
 // Observer is told what servers ask for in their answers.
 type Observer interface {
-	// Hear takes in the notice of an answer, as soon as its head is there; its request was sent at a time.
-	Hear(server lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time)
+	// Observe takes in the notice of an answer, as soon as its head is there; its request was sent at a time.
+	Observe(server lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time)
 }
 
 // Request is one request as a backend server gets it.
@@ -66,16 +66,16 @@
 	MayResend func() bool
 	// MaySend says whether the server still takes the request once a connection is open; nil means that it does.
 	MaySend func() bool
-	// Server is the server's name, and Life when this life of it started; see
+	// Server is the server's name, and Incarnation when this life of it started; see
 	// lovageyard.BackendServer.
 	Server        string
-	Life          int64
+	Incarnation   int64
 	ServerAddress string
 }
 
 // peer returns what the request's connections lead to.
 func (r Request) peer() peer {
-	return peer{server: r.Server, life: r.Life, address: r.ServerAddress}
+	return peer{server: r.Server, life: r.Incarnation, address: r.ServerAddress}
 }
 
 // peer is one life of a server at one address.
@@ -90,8 +90,8 @@
 	return peer{server: s.Name, life: s.Life, address: s.Address}
 }
 
-// Answer is a whole answer of a backend server.
-type Answer struct {
+// Response is a whole answer of a backend server.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -100,8 +100,8 @@
 	DialTime time.Duration
 }
 
-// Link keeps the connections to all backend servers.
-type Link struct {
+// Transport keeps the connections to all backend servers.
+type Transport struct {
 	codec    Codec
 	timer    lovageyard.Timer
 	observer Observer
@@ -112,22 +112,22 @@
 	opened int64
 }
 
-// New returns a Link without connections; the observer may be nil.
-func New(c Codec, t lovageyard.Timer, o Observer) *Link {
-	return &Link{codec: c, timer: t, observer: o, idle: make(map[peer][]*conn)}
+// New returns a Transport without connections; the observer may be nil.
+func New(c Codec, t lovageyard.Timer, o Observer) *Transport {
+	return &Transport{codec: c, timer: t, observer: o, idle: make(map[peer][]*conn)}
 }
 
 // hear tells the observer what an answer asks for, if it is the server's own and not that of another at its address.
-func (l *Link) hear(p peer, meta lovageyard.AnswerMeta, sentAt time.Time) {
+func (l *Transport) hear(p peer, meta lovageyard.AnswerMeta, sentAt time.Time) {
 	if l.observer == nil || meta.Misdirected {
 		return
 	}
-	l.observer.Hear(lovageyard.BackendServer{Name: p.server, Life: p.life, Address: p.address}, meta.Notice, sentAt)
+	l.observer.Observe(lovageyard.BackendServer{Name: p.server, Life: p.life, Address: p.address}, meta.Notice, sentAt)
 }
 
 // Send makes one attempt. The error is a *lovageyard.RequestError. When ctx ends, the
 // connection is closed, by which most servers give up the request.
-func (l *Link) Send(ctx context.Context, r Request) (*Answer, error) {
+func (l *Transport) Send(ctx context.Context, r Request) (*Response, error) {
 	c := l.take(r.peer(), r.Idempotent)
 	if c == nil {
 		return l.sendFresh(ctx, r)
@@ -146,7 +146,7 @@
 
 // resend sends a request again that a server broke off. Whatever becomes of the second send, the first
 // may have run: a refusal of the second, which is true of itself, is none of the request.
-func (l *Link) resend(ctx context.Context, r Request) (*Answer, error) {
+func (l *Transport) resend(ctx context.Context, r Request) (*Response, error) {
 	answer, err := l.sendFresh(ctx, r)
 	if err == nil && !answer.Meta.NotRun {
 		return answer, nil
@@ -164,7 +164,7 @@
 
 // HasEnded says whether a server's port refuses connections. A connection that is taken is kept for
 // the next request.
-func (l *Link) HasEnded(ctx context.Context, server lovageyard.BackendServer) bool {
+func (l *Transport) HasEnded(ctx context.Context, server lovageyard.BackendServer) bool {
 	c, err := l.open(ctx, server.Address)
 	if err != nil {
 		return isRefused(err)
@@ -174,7 +174,7 @@
 }
 
 // open opens a connection and counts it.
-func (l *Link) open(ctx context.Context, address string) (*conn, error) {
+func (l *Transport) open(ctx context.Context, address string) (*conn, error) {
 	c, err := dial(ctx, address, dialTimeout)
 	if err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 	return c, nil
 }
 
-func (l *Link) sendFresh(ctx context.Context, r Request) (*Answer, error) {
+func (l *Transport) sendFresh(ctx context.Context, r Request) (*Response, error) {
 	began := l.timer.Now()
 	c, err := l.open(ctx, r.ServerAddress)
 	if err != nil {
@@ -204,7 +204,7 @@
 }
 
 // Opened returns the number of connections opened so far.
-func (l *Link) Opened() int64 {
+func (l *Transport) Opened() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -105,7 +105,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func newLink(c *qt.C) *link.Link {
+func newLink(c *qt.C) *link.Transport {
 	l := link.New(codec{}, timer.Clock{}, nil)
 	c.Cleanup(l.Close)
 	return l
@@ -120,7 +120,7 @@
 }
 
 // send sends with a bound on the wait, so that a failing test ends.
-func send(c *qt.C, l *link.Link, r link.Request) (*link.Answer, error) {
+func send(c *qt.C, l *link.Transport, r link.Request) (*link.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	c.Cleanup(cancel)
 	return l.Send(ctx, r)
@@ -367,11 +367,11 @@
 	after := newBackendServer(c, answer("2", "two"))
 	l := newLink(c)
 	r := request(before, "1", true)
-	r.Life = 100
+	r.Incarnation = 100
 	_, err := send(c, l, r)
 	c.Assert(err, qt.IsNil)
 	r = request(after, "2", true)
-	r.Life = 200
+	r.Incarnation = 200
 	second, err := send(c, l, r)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(second.Body), qt.Equals, "two")
--- a/link/notice_test.go
+++ b/link/notice_test.go
@@ -24,7 +24,7 @@
 	heard func()
 }
 
-func (o *observer) Hear(_ lovageyard.BackendServer, n lovageyard.Notice, _ time.Time) {
+func (o *observer) Observe(_ lovageyard.BackendServer, n lovageyard.Notice, _ time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.notices = append(o.notices, n)
@@ -48,7 +48,7 @@
 	return meta
 }
 
-func newObservedLink(c *qt.C, o *observer) *link.Link {
+func newObservedLink(c *qt.C, o *observer) *link.Transport {
 	l := link.New(limiting{}, timer.Clock{}, o)
 	c.Cleanup(l.Close)
 	return l
--- a/link/report.go
+++ b/link/report.go
@@ -21,11 +21,11 @@
 	maxReport    = 64 << 10
 )
 
-// OwnHeaders reads what servers that speak our own headers say in their answers.
-type OwnHeaders struct{}
+// LoadHeaderCodec reads what servers that speak our own headers say in their answers.
+type LoadHeaderCodec struct{}
 
 // Answer returns what an answer says about itself.
-func (OwnHeaders) Answer(r *http.Response) lovageyard.AnswerMeta {
+func (LoadHeaderCodec) Answer(r *http.Response) lovageyard.AnswerMeta {
 	var meta lovageyard.AnswerMeta
 	meta.Load, meta.Reported = ReportOf(r.Header)
 	return meta
@@ -42,7 +42,7 @@
 }
 
 // Probe asks a server for its load.
-func (l *Link) Probe(ctx context.Context, s lovageyard.BackendServer) (lovageyard.LoadReport, error) {
+func (l *Transport) Probe(ctx context.Context, s lovageyard.BackendServer) (lovageyard.LoadReport, error) {
 	var report lovageyard.LoadReport
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/link/stream.go
+++ b/link/stream.go
@@ -15,7 +15,7 @@
 // Stream makes one attempt at a server and returns the answer as it comes, for bodies that are longer than
 // an instance holds. The error is a *lovageyard.RequestError. A request without a body that meets a
 // kept connection just as the server closes it is sent once more. The answer's body must be closed.
-func (l *Link) Stream(r *http.Request, s lovageyard.BackendServer) (*http.Response, error) {
+func (l *Transport) Stream(r *http.Request, s lovageyard.BackendServer) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.URL.Scheme = "http"
 	r.URL.Host = s.Address
@@ -39,7 +39,7 @@
 	return response, nil
 }
 
-func (l *Link) streamFresh(r *http.Request, s lovageyard.BackendServer) (*http.Response, error) {
+func (l *Transport) streamFresh(r *http.Request, s lovageyard.BackendServer) (*http.Response, error) {
 	c, err := l.open(r.Context(), s.Address)
 	if err != nil {
 		return nil, notReached(err)
@@ -52,7 +52,7 @@
 }
 
 // streamOn sends a request on a connection and reads the head of its answer.
-func (l *Link) streamOn(c *conn, r *http.Request, s lovageyard.BackendServer) (*http.Response, *lovageyard.RequestError) {
+func (l *Transport) streamOn(c *conn, r *http.Request, s lovageyard.BackendServer) (*http.Response, *lovageyard.RequestError) {
 	ctx := r.Context()
 	before := c.writes.Load()
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
@@ -128,7 +128,7 @@
 
 // streamBody is the body of an answer on its way; its connection is kept once it has ended.
 type streamBody struct {
-	link     *Link
+	link     *Transport
 	conn     *conn
 	peer     peer
 	response *http.Response
--- a/link/stream_test.go
+++ b/link/stream_test.go
@@ -63,8 +63,8 @@
 	_, _ = http.ReadRequest(bufio.NewReader(conn))
 }
 
-func newStream() *link.Link {
-	return link.New(link.OwnHeaders{}, timer.Clock{}, nil)
+func newStream() *link.Transport {
+	return link.New(link.LoadHeaderCodec{}, timer.Clock{}, nil)
 }
 
 func write(conn net.Conn, text string) {
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -48,7 +48,7 @@
 	logger    *logrus.Logger
 	timer     lovageyard.Timer
 	control   *control.Control
-	link      *link.Link
+	link      *link.Transport
 	platform  *platform.Store
 	peers     *peer.Client
 	charges   *charge.Book
@@ -133,7 +133,7 @@
 		options:  o,
 		logger:   logger,
 		timer:    clock,
-		link:     link.New(link.OwnHeaders{}, clock, nil),
+		link:     link.New(link.LoadHeaderCodec{}, clock, nil),
 		platform: platform.NewStore(o.PlatformAddress, logger),
 		peers:    peer.NewClient(),
 	}
@@ -182,7 +182,7 @@
 	for {
 		select {
 		case now := <-watch.C():
-			d.link.Expire(now)
+			d.link.CloseExpired(now)
 		case <-leave:
 			return
 		}
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -60,7 +60,7 @@
 	meters   *meter.Set
 	store    *platform.Store
 	peers    *peer.Client
-	link     *link.Link
+	link     *link.Transport
 	dispatch *dispatch.Table
 	watch    *quarantine.Watch
 	control  *fleet.Control
@@ -92,7 +92,7 @@
 			}
 			e.reload("signal")
 		case now := <-watch.C():
-			e.link.Expire(now)
+			e.link.CloseExpired(now)
 			e.measure(now)
 			if file.changed() {
 				e.reload("file changed")
@@ -152,7 +152,7 @@
 		Self:          o.Instance,
 		FailureDomain: o.FailureDomain,
 		Region:        o.Region,
-		Demand:        o.demand(),
+		DemandShare:   o.demand(),
 		Bounds:        o.bounds(),
 		Seed:          uint64(self.Life),
 	})
@@ -290,7 +290,7 @@
 		e.version = version
 		e.versionSince = now
 	}
-	census := e.dispatch.Census(now)
+	census := e.dispatch.Stats(now)
 	dropped := e.sink.Dropped()
 	e.meters.Update(meter.Connections, e.link.Opened())
 	e.meters.Update(meter.ServersKnown, int64(census.Servers))
@@ -306,7 +306,7 @@
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
 	e.meters.Update(meter.LogDroppedOther, dropped.Other)
-	for service, share := range census.Elsewhere {
+	for service, share := range census.RemoteShares {
 		e.meters.Update(meter.ShareElsewhere, int64(1000*share), service)
 	}
 }
--- a/lovageyardd/edge_options.go
+++ b/lovageyardd/edge_options.go
@@ -115,7 +115,7 @@
 	return dispatch.Bounds{
 		Retries: dispatch.RetryBound{Ratio: o.RetryRatio, Window: o.RetryWindow, Slack: o.RetrySlack},
 		Cold:    dispatch.ColdBound{Excess: o.ColdExcess, Slack: o.ColdSlack},
-		Shift:   dispatch.ShiftBound{Largest: o.LargestShift, Window: o.ShiftWindow},
+		Shift:   dispatch.ShiftBound{MaxChange: o.LargestShift, Window: o.ShiftWindow},
 	}
 }
 
--- a/lovageyardd/edge_test.go
+++ b/lovageyardd/edge_test.go
@@ -83,7 +83,7 @@
 	c.Assert(bounds.Retries.Slack, qt.Equals, 64.0)
 	c.Assert(bounds.Cold.Excess, qt.Equals, 1.5)
 	c.Assert(o.LinkMbps, qt.Equals, 200.0)
-	c.Assert(bounds.Shift, qt.Equals, dispatch.ShiftBound{Largest: 0.25, Window: 2 * time.Second})
+	c.Assert(bounds.Shift, qt.Equals, dispatch.ShiftBound{MaxChange: 0.25, Window: 2 * time.Second})
 }
 
 func TestWrongSettingsNameTheField(t *testing.T) {
--- a/peer/client.go
+++ b/peer/client.go
@@ -44,8 +44,8 @@
 // within returns a client for calls of which the answer may wait so long.
 func (c *Client) within(wait time.Duration) transfer.Client {
 	return transfer.Client{
-		HTTP:   c.http,
-		Bounds: transfer.Bounds{Answer: wait + callTimeout, Stall: callTimeout, Whole: wait + callLongest},
+		HTTP:     c.http,
+		Timeouts: transfer.Timeouts{ResponseHeader: wait + callTimeout, Idle: callTimeout, Total: wait + callLongest},
 	}
 }
 
--- a/route/work.go
+++ b/route/work.go
@@ -33,7 +33,7 @@
 type Site struct {
 	Name      string
 	Pool      *server.Pool
-	Allowance *grant.Allowance
+	Allowance *grant.TokenBucket
 	Local     bool
 }
 
@@ -44,7 +44,7 @@
 	Step   int64
 	Gate   *move.Gate
 	Forced *move.Gate
-	Budget *server.Budget
+	Budget *server.RetryBudget
 	Counts []*HomeCount
 	Homes  []move.Home
 	// Sites are in the order of their distance from this instance.
@@ -84,7 +84,7 @@
 	}
 	name, moved := cells[p.Bucket].Route(rand.Float64(), w.Gate)
 	site := w.site(name)
-	if site != nil && site.Pool.TakesWork() {
+	if site != nil && site.Pool.HasAvailable() {
 		return Choice{Site: name, Pool: site.Pool, Moved: moved, Reason: reasonOf(moved)}
 	}
 	return w.failOver(name, now)
@@ -101,7 +101,7 @@
 func (w *Work) failOver(from string, now time.Time) Choice {
 	for i := range w.Sites {
 		s := &w.Sites[i]
-		if s.Name == from || !s.Pool.TakesWork() || !s.Allowance.Take(now) {
+		if s.Name == from || !s.Pool.HasAvailable() || !s.Allowance.Take(now) {
 			continue
 		}
 		if !w.takeForced() {
@@ -123,7 +123,7 @@
 func (w *Work) local() Choice {
 	for i := range w.Sites {
 		s := &w.Sites[i]
-		if s.Local && s.Pool.TakesWork() {
+		if s.Local && s.Pool.HasAvailable() {
 			return Choice{Site: s.Name, Pool: s.Pool, Reason: ReasonUnplaced}
 		}
 	}
--- a/server/budget.go
+++ b/server/budget.go
@@ -8,26 +8,26 @@
 	retryBurst = 10.0
 )
 
-// Budget bounds retries to a share of the requests.
-type Budget struct {
+// RetryBudget bounds retries to a share of the requests.
+type RetryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-// NewBudget returns a budget that allows a few retries from the start.
-func NewBudget() *Budget {
-	return &Budget{tokens: retryBurst / 2}
+// NewRetryBudget returns a budget that allows a few retries from the start.
+func NewRetryBudget() *RetryBudget {
+	return &RetryBudget{tokens: retryBurst / 2}
 }
 
-// Earn credits one first attempt.
-func (b *Budget) Earn() {
+// Deposit credits one first attempt.
+func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(retryBurst, b.tokens+retryShare)
 }
 
-// Spend says whether a retry is allowed, and debits it.
-func (b *Budget) Spend() bool {
+// Withdraw says whether a retry is allowed, and debits it.
+func (b *RetryBudget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/server/choose.go
+++ b/server/choose.go
@@ -62,7 +62,7 @@
 
 // floor returns the even share of a server's slots that this instance may always use.
 func (p *Pool) floor(m *member) int {
-	return min(m.limit(), max(1, m.slots/p.settings.Sharers))
+	return min(m.limit(), max(1, m.slots/p.settings.Instances))
 }
 
 func ownLoad(m *member, _ time.Time) float64 {
--- a/server/model_test.go
+++ b/server/model_test.go
@@ -85,7 +85,7 @@
 
 type modelEntry struct {
 	pool    *Pool
-	budget  *Budget
+	budget  *RetryBudget
 	waiting []modelWaiter
 }
 
@@ -127,7 +127,7 @@
 		r.hosts[b.Name] = &modelServer{name: b.Name}
 	}
 	for n := range m.instances {
-		e := &modelEntry{pool: NewPool(Settings{Mode: m.mode, QueuePerSlot: m.queuePerSlot, Sharers: m.instances}, m.seed+uint64(n)), budget: NewBudget()}
+		e := &modelEntry{pool: NewPool(Settings{Mode: m.mode, QueuePerSlot: m.queuePerSlot, Instances: m.instances}, m.seed+uint64(n)), budget: NewRetryBudget()}
 		e.pool.SetServers(list)
 		r.entries = append(r.entries, e)
 	}
@@ -160,7 +160,7 @@
 
 func (r *run) arrive(e *modelEntry, q modelRequest) {
 	if q.tries == 0 {
-		e.budget.Earn()
+		e.budget.Deposit()
 	}
 	result, waiter := e.pool.Acquire(Request{Now: r.now, Deadline: q.arrived.Add(r.deadline), Avoid: q.avoid})
 	if waiter != nil {
@@ -216,7 +216,7 @@
 	}
 	q.tries++
 	q.avoid = host.name
-	if q.tries >= 3 || !e.budget.Spend() {
+	if q.tries >= 3 || !e.budget.Withdraw() {
 		_ = r.refused.RecordValue(max(1, r.now.Sub(q.arrived).Microseconds()))
 		return
 	}
--- a/server/pool.go
+++ b/server/pool.go
@@ -15,8 +15,8 @@
 	Mode Mode
 	// QueuePerSlot is the length of the queue for each slot of the pool's servers.
 	QueuePerSlot float64
-	// Sharers is the number of entry instances that share the servers, at least 1.
-	Sharers int
+	// Instances is the number of entry instances that share the servers, at least 1.
+	Instances int
 }
 
 // Request asks a pool for a server.
@@ -59,17 +59,17 @@
 
 // NewPool returns a pool without servers.
 func NewPool(s Settings, seed uint64) *Pool {
-	if s.Sharers < 1 {
-		s.Sharers = 1
+	if s.Instances < 1 {
+		s.Instances = 1
 	}
 	return &Pool{settings: s, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// SetSharers changes the number of entry instances that share the servers.
-func (p *Pool) SetSharers(n int) {
+// SetInstances changes the number of entry instances that share the servers.
+func (p *Pool) SetInstances(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settings.Sharers = max(1, n)
+	p.settings.Instances = max(1, n)
 }
 
 // SetServers takes in the list of servers: ones that join a pool begin cold, and ones
@@ -98,8 +98,8 @@
 	p.members = members
 }
 
-// Mark notes that a server is leaving, or that a leaving one has come back.
-func (p *Pool) Mark(name string, state lovageyard.InstanceState) {
+// SetState notes that a server is leaving, or that a leaving one has come back.
+func (p *Pool) SetState(name string, state lovageyard.InstanceState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.find(name)
@@ -151,8 +151,8 @@
 	p.dispatch(a.At)
 }
 
-// Suspect notes that a server could not be reached; Heard lifts it.
-func (p *Pool) Suspect(name string) {
+// MarkUnreachable notes that a server could not be reached; ObserveReport lifts it.
+func (p *Pool) MarkUnreachable(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.find(name); m != nil {
@@ -160,8 +160,8 @@
 	}
 }
 
-// Heard takes in the answer to a probe.
-func (p *Pool) Heard(name string, r lovageyard.LoadReport, now time.Time) {
+// ObserveReport takes in the answer to a probe.
+func (p *Pool) ObserveReport(name string, r lovageyard.LoadReport, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.find(name)
@@ -194,40 +194,40 @@
 	return p.queue.remove(w)
 }
 
-// Census counts what a pool holds.
-type Census struct {
-	Servers  int
-	Takers   int
-	Suspects []lovageyard.BackendServer
-	Leaving  []lovageyard.BackendServer
-	Slots    int
-	InFlight int
-	Load     float64
-	Queued   int
+// Stats counts what a pool holds.
+type Stats struct {
+	Servers   int
+	Available int
+	Suspects  []lovageyard.BackendServer
+	Leaving   []lovageyard.BackendServer
+	Slots     int
+	InFlight  int
+	Load      float64
+	Queued    int
 	// Mean is the mean answer time that this instance sees.
 	Mean time.Duration
-	// Service is the mean time that the servers report to spend on a request, or 0.
-	Service time.Duration
+	// ServiceTime is the mean time that the servers report to spend on a request, or 0.
+	ServiceTime time.Duration
 	// Answers counts the answers so far.
 	Answers uint64
 }
 
-// Census returns the pool's counts at a time.
-func (p *Pool) Census(now time.Time) Census {
+// Stats returns the pool's counts at a time.
+func (p *Pool) Stats(now time.Time) Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := Census{Servers: len(p.members), Queued: p.queue.Len(), Mean: p.mean, Answers: p.answers}
+	c := Stats{Servers: len(p.members), Queued: p.queue.Len(), Mean: p.mean, Answers: p.answers}
 	var reporting int
 	for _, m := range p.members {
 		c.InFlight += m.inFlight
 		switch {
 		case m.takesWork():
-			c.Takers++
+			c.Available++
 			c.Slots += m.slots
 			c.Load += m.load(now)
 			if m.service > 0 {
 				reporting++
-				c.Service += (m.service - c.Service) / time.Duration(reporting)
+				c.ServiceTime += (m.service - c.ServiceTime) / time.Duration(reporting)
 			}
 		case m.state == stateSuspect:
 			c.Suspects = append(c.Suspects, m.BackendServer)
@@ -238,8 +238,8 @@
 	return c
 }
 
-// TakesWork says whether any server of the pool takes new work.
-func (p *Pool) TakesWork() bool {
+// HasAvailable says whether any server of the pool takes new work.
+func (p *Pool) HasAvailable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.takers() > 0
@@ -312,7 +312,7 @@
 			slots += m.slots
 		}
 	}
-	return float64(slots) / float64(p.settings.Sharers)
+	return float64(slots) / float64(p.settings.Instances)
 }
 
 func (p *Pool) queueLimit() int {
--- a/server/pool_test.go
+++ b/server/pool_test.go
@@ -25,7 +25,7 @@
 }
 
 func newTestPool(mode Mode, count, slots, sharers int) *Pool {
-	p := NewPool(Settings{Mode: mode, QueuePerSlot: 1, Sharers: sharers}, 1)
+	p := NewPool(Settings{Mode: mode, QueuePerSlot: 1, Instances: sharers}, 1)
 	p.SetServers(servers(count, slots))
 	return p
 }
@@ -57,10 +57,10 @@
 			r, w := p.Acquire(ask(testStart, time.Minute, 5))
 			c.Assert(w, qt.IsNil)
 			c.Assert(r.Err.Verdict, qt.Equals, lovageyard.VerdictNotRun)
-			c.Assert(p.Census(testStart).InFlight, qt.Equals, 6)
+			c.Assert(p.Stats(testStart).InFlight, qt.Equals, 6)
 			p.Release(sent[0], answered(testStart, time.Millisecond))
-			c.Assert(p.Census(testStart).InFlight, qt.Equals, 6)
-			c.Assert(p.Census(testStart).Queued, qt.Equals, 5)
+			c.Assert(p.Stats(testStart).InFlight, qt.Equals, 6)
+			c.Assert(p.Stats(testStart).Queued, qt.Equals, 5)
 		})
 	}
 }
@@ -112,7 +112,7 @@
 	c := qt.New(t)
 	p := newTestPool(Shared, 1, 8, 2)
 	// The server reports that others hold all but one of its slots.
-	p.Heard("server-1", lovageyard.LoadReport{Slots: 8, InFlight: 7}, testStart)
+	p.ObserveReport("server-1", lovageyard.LoadReport{Slots: 8, InFlight: 7}, testStart)
 	sent := 0
 	for range 8 {
 		if _, w := p.Acquire(ask(testStart, time.Minute, 5)); w == nil {
@@ -122,7 +122,7 @@
 	c.Assert(sent, qt.Equals, 4, qt.Commentf("the even share is always free to use, no more while others hold the rest"))
 	later := testStart.Add(maxReportAge)
 	p.Expire(later)
-	c.Assert(p.Census(later).InFlight, qt.Equals, 8, qt.Commentf("an old report is not believed"))
+	c.Assert(p.Stats(later).InFlight, qt.Equals, 8, qt.Commentf("an old report is not believed"))
 }
 
 func TestPoolStates(t *testing.T) {
@@ -132,23 +132,23 @@
 		takers int
 	}{
 		{"listed", func(*Pool) {}, 2},
-		{"suspect", func(p *Pool) { p.Suspect("server-1") }, 1},
+		{"suspect", func(p *Pool) { p.MarkUnreachable("server-1") }, 1},
 		{"suspect that answers a probe", func(p *Pool) {
-			p.Suspect("server-1")
-			p.Heard("server-1", lovageyard.LoadReport{Slots: 2}, testStart)
+			p.MarkUnreachable("server-1")
+			p.ObserveReport("server-1", lovageyard.LoadReport{Slots: 2}, testStart)
 		}, 2},
-		{"marked as leaving", func(p *Pool) { p.Mark("server-1", lovageyard.StateLeaving) }, 1},
+		{"marked as leaving", func(p *Pool) { p.SetState("server-1", lovageyard.StateLeaving) }, 1},
 		{"leaving and suspect", func(p *Pool) {
-			p.Mark("server-1", lovageyard.StateLeaving)
-			p.Suspect("server-1")
-			p.Heard("server-1", lovageyard.LoadReport{Slots: 2}, testStart)
+			p.SetState("server-1", lovageyard.StateLeaving)
+			p.MarkUnreachable("server-1")
+			p.ObserveReport("server-1", lovageyard.LoadReport{Slots: 2}, testStart)
 		}, 1},
 		{"back again", func(p *Pool) {
-			p.Mark("server-1", lovageyard.StateLeaving)
-			p.Mark("server-1", lovageyard.StateLive)
+			p.SetState("server-1", lovageyard.StateLeaving)
+			p.SetState("server-1", lovageyard.StateLive)
 		}, 2},
 		{"says so itself", func(p *Pool) {
-			p.Heard("server-1", lovageyard.LoadReport{Leaving: true}, testStart)
+			p.ObserveReport("server-1", lovageyard.LoadReport{Leaving: true}, testStart)
 		}, 1},
 		{"unlisted", func(p *Pool) { p.SetServers(servers(1, 2)) }, 1},
 	} {
@@ -156,7 +156,7 @@
 			c := qt.New(t)
 			p := newTestPool(Shared, 2, 2, 1)
 			test.change(p)
-			c.Assert(p.Census(testStart).Takers, qt.Equals, test.takers)
+			c.Assert(p.Stats(testStart).Available, qt.Equals, test.takers)
 		})
 	}
 }
@@ -192,12 +192,12 @@
 
 func TestBudgetBoundsRetries(t *testing.T) {
 	c := qt.New(t)
-	b := NewBudget()
+	b := NewRetryBudget()
 	const requests = 10000
 	retries := 0
 	for range requests {
-		b.Earn()
-		for b.Spend() {
+		b.Deposit()
+		for b.Withdraw() {
 			retries++
 		}
 	}
--- a/transfer/client.go
+++ b/transfer/client.go
@@ -10,33 +10,33 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds are the times that one exchange may take; a zero means no bound.
-type Bounds struct {
-	// Answer is the time from the last byte sent to the answer's headers.
-	Answer time.Duration
-	// Stall is the time without a byte of a body.
-	Stall time.Duration
-	// Whole is the time of the whole exchange, however well it goes on.
-	Whole time.Duration
+// Timeouts are the times that one exchange may take; a zero means no bound.
+type Timeouts struct {
+	// ResponseHeader is the time from the last byte sent to the answer's headers.
+	ResponseHeader time.Duration
+	// Idle is the time without a byte of a body.
+	Idle time.Duration
+	// Total is the time of the whole exchange, however well it goes on.
+	Total time.Duration
 }
 
 // Client sends requests within bounds.
 type Client struct {
-	HTTP   *http.Client
-	Bounds Bounds
+	HTTP     *http.Client
+	Timeouts Timeouts
 }
 
 // TimeoutError is the end of an exchange that exceeded one of its bounds.
 type TimeoutError struct {
-	// Bound is the time that was exceeded.
-	Bound time.Duration
+	// Limit is the time that was exceeded.
+	Limit time.Duration
 	// Received is the number of bytes of the answer's body that had come by then.
 	Received int64
 }
 
 // Error says what was exceeded.
 func (e *TimeoutError) Error() string {
-	return errors.Errorf("no progress for %s, after %d bytes of the answer", e.Bound, e.Received).Error()
+	return errors.Errorf("no progress for %s, after %d bytes of the answer", e.Limit, e.Received).Error()
 }
 
 // Timeout returns true; see net.Error.
@@ -45,11 +45,11 @@
 // Do sends a request and returns the answer once its headers have come; the bounds hold until
 // its body is closed. It returns a TimeoutError, as reads of the body do, if one is exceeded.
 func (c Client) Do(r *http.Request) (*http.Response, error) {
-	ctx, cancel := context.WithTimeout(r.Context(), span(c.Bounds.Whole))
-	w := newWatch(cancel, c.Bounds.Answer)
+	ctx, cancel := context.WithTimeout(r.Context(), span(c.Timeouts.Total))
+	w := newWatch(cancel, c.Timeouts.ResponseHeader)
 	request := r.WithContext(ctx)
 	if r.Body != nil && r.Body != http.NoBody {
-		request.Body = &body{ReadCloser: r.Body, watch: w, bound: c.Bounds.Answer}
+		request.Body = &body{ReadCloser: r.Body, watch: w, bound: c.Timeouts.ResponseHeader}
 	}
 	response, err := c.HTTP.Do(request)
 	if err != nil {
@@ -57,8 +57,8 @@
 		cancel()
 		return nil, w.explain(err)
 	}
-	w.progress(c.Bounds.Stall, 0)
-	response.Body = &answer{body: body{ReadCloser: response.Body, watch: w, bound: c.Bounds.Stall}, cancel: cancel}
+	w.progress(c.Timeouts.Idle, 0)
+	response.Body = &answer{body: body{ReadCloser: response.Body, watch: w, bound: c.Timeouts.Idle}, cancel: cancel}
 	return response, nil
 }
 
@@ -108,7 +108,7 @@
 	if err == nil || err == io.EOF || !w.expired.Load() {
 		return err
 	}
-	return &TimeoutError{Bound: time.Duration(w.bound.Load()), Received: w.received.Load()}
+	return &TimeoutError{Limit: time.Duration(w.bound.Load()), Received: w.received.Load()}
 }
 
 // body notes each byte that goes through it as progress.
--- a/transfer/client_test.go
+++ b/transfer/client_test.go
@@ -49,7 +49,7 @@
 func TestAnswerThatDoesNotBeginIsGivenUp(t *testing.T) {
 	c := qt.New(t)
 	url := serve(c, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	client := transfer.Client{HTTP: http.DefaultClient, Bounds: transfer.Bounds{Answer: short, Stall: long, Whole: long}}
+	client := transfer.Client{HTTP: http.DefaultClient, Timeouts: transfer.Timeouts{ResponseHeader: short, Idle: long, Total: long}}
 	_, err := get(c, client, url)
 	assertTimeout(c, err, 0)
 }
@@ -61,7 +61,7 @@
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	})
-	client := transfer.Client{HTTP: http.DefaultClient, Bounds: transfer.Bounds{Answer: long, Stall: short, Whole: long}}
+	client := transfer.Client{HTTP: http.DefaultClient, Timeouts: transfer.Timeouts{ResponseHeader: long, Idle: short, Total: long}}
 	response, err := get(c, client, url)
 	c.Assert(err, qt.IsNil)
 	defer response.Body.Close()
@@ -79,7 +79,7 @@
 			time.Sleep(short / 10)
 		}
 	})
-	client := transfer.Client{HTTP: http.DefaultClient, Bounds: transfer.Bounds{Answer: long, Stall: long, Whole: short}}
+	client := transfer.Client{HTTP: http.DefaultClient, Timeouts: transfer.Timeouts{ResponseHeader: long, Idle: long, Total: short}}
 	response, err := get(c, client, url)
 	c.Assert(err, qt.IsNil)
 	defer response.Body.Close()
@@ -95,7 +95,7 @@
 		c.Check(err, qt.IsNil)
 		_, _ = w.Write(sent)
 	})
-	client := transfer.Client{HTTP: http.DefaultClient, Bounds: transfer.Bounds{Answer: 10 * short, Stall: long, Whole: long}}
+	client := transfer.Client{HTTP: http.DefaultClient, Timeouts: transfer.Timeouts{ResponseHeader: 10 * short, Idle: long, Total: long}}
 	content := bytes.Repeat([]byte("x"), 30)
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, &slow{content: content})
 	c.Assert(err, qt.IsNil)
@@ -127,7 +127,7 @@
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	})
-	client := transfer.Client{HTTP: http.DefaultClient, Bounds: transfer.Bounds{Answer: long, Stall: short, Whole: long}}
+	client := transfer.Client{HTTP: http.DefaultClient, Timeouts: transfer.Timeouts{ResponseHeader: long, Idle: short, Total: long}}
 	response, err := get(c, client, url)
 	c.Assert(err, qt.IsNil)
 	defer response.Body.Close()
