--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,7 +10,8 @@
 	"lovageyard.example/lovageyard/dispatch"
 )
 
-// BenchmarkChooseAmongAThousand chooses a server for an object among 1,000 in three regions.
+// BenchmarkChooseAmongAThousand selects a server for an object among 1,000 servers in three
+// regions.
 func BenchmarkChooseAmongAThousand(b *testing.B) {
 	view := &catalog.Snapshot{Configuration: &lovageyard.Configuration{
 		Routes:   []lovageyard.Route{{Name: "r", Goal: time.Second, Sticky: true, Parts: []lovageyard.ServiceWeight{{Service: "desk", Weight: 1}}}},
@@ -25,7 +26,7 @@
 	}
 	table := dispatch.NewTable(dispatch.Settings{
 		Self: "entry", FailureDomain: "east-1", Region: "east",
-		Bounds: dispatch.Bounds{Shift: dispatch.ShiftBound{Largest: 0.15, Window: 2 * time.Second}},
+		Bounds: dispatch.Bounds{Shift: dispatch.ShiftBound{MaxChange: 0.15, Window: 2 * time.Second}},
 	})
 	table.SetCatalog(view, time.Unix(1000, 0))
 	route := &view.Configuration.Routes[0]
--- a/route/work.go
+++ b/route/work.go
@@ -33,7 +33,7 @@
 type Site struct {
 	Name      string
 	Pool      *server.Pool
-	Allowance *grant.Allowance
+	Allowance *grant.TokenBucket
 	Local     bool
 }
 
@@ -44,7 +44,7 @@
 	Step            int64
 	Limiter         *move.Limiter
 	FailoverLimiter *move.Limiter
-	Budget          *server.Budget
+	Budget          *server.RetryBudget
 	HomeCounts      []*HomeCounter
 	Homes           []move.Home
 	// Sites are in the order of their distance from this instance.
@@ -84,7 +84,7 @@
 	}
 	name, moved := cells[p.Bucket].Route(rand.Float64(), w.Limiter)
 	site := w.site(name)
-	if site != nil && site.Pool.TakesWork() {
+	if site != nil && site.Pool.HasAvailable() {
 		return Choice{Site: name, Pool: site.Pool, Moved: moved, Reason: reasonOf(moved)}
 	}
 	return w.failOver(name, now)
@@ -101,7 +101,7 @@
 func (w *ClassRoute) failOver(from string, now time.Time) Choice {
 	for i := range w.Sites {
 		s := &w.Sites[i]
-		if s.Name == from || !s.Pool.TakesWork() || !s.Allowance.Take(now) {
+		if s.Name == from || !s.Pool.HasAvailable() || !s.Allowance.Take(now) {
 			continue
 		}
 		if !w.takeForced() {
@@ -123,7 +123,7 @@
 func (w *ClassRoute) local() Choice {
 	for i := range w.Sites {
 		s := &w.Sites[i]
-		if s.Local && s.Pool.TakesWork() {
+		if s.Local && s.Pool.HasAvailable() {
 			return Choice{Site: s.Name, Pool: s.Pool, Reason: ReasonNoPlan}
 		}
 	}
