--- a/lovageyard/charge.go
+++ b/lovageyard/charge.go
@@ -19,15 +19,15 @@
 	State string `default:"unknown" enum:"claimed,recorded,released,unknown" help:"State to list: claimed, recorded, released or unknown."`
 }
 
-// Run lists the charges of a state.
+// Run lists the charges in one state, with their class, key and holder.
 func (k *chargeList) Run(s *invocation) error {
-	claims, err := s.client.Charges(s.context, charge.State(k.State))
+	charges, err := s.client.Charges(s.context, charge.State(k.State))
 	if err != nil {
 		return err
 	}
-	return s.print(claims, func(w io.Writer) {
+	return s.print(charges, func(w io.Writer) {
 		table(w, "CLASS\tKEY\tSTATE\tCLAIMED\tHOLDER", func(w io.Writer) {
-			for _, c := range claims {
+			for _, c := range charges {
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", c.Class, c.Key, c.State, timeText(c.ClaimedAt), c.Holder)
 			}
 		})
@@ -39,7 +39,7 @@
 	Key   string `arg:"" help:"The caller's key."`
 }
 
-// Run shows one charge.
+// Run prints all fields of one charge; the settlement only if an operator has settled it.
 func (k *chargeShow) Run(s *invocation) error {
 	c, err := s.client.Charge(s.context, k.Class, k.Key)
 	if err != nil {
@@ -64,7 +64,7 @@
 	Operator string `help:"Who settles it; the user's name without it."`
 }
 
-// Run settles the charge.
+// Run records whether the charge ran. The operator's name defaults to the current user.
 func (k *chargeSettle) Run(s *invocation) error {
 	if k.Operator == "" {
 		u, err := user.Current()
--- a/lovageyard/class.go
+++ b/lovageyard/class.go
@@ -23,6 +23,8 @@
 	Delete classDelete `cmd:"" help:"Delete a class."`
 }
 
+// readClass decodes a class file, or standard input for "-". All its errors are FieldErrors, which
+// exitStatus maps to settings.ExitUsage.
 func readClass(file string) (lovageyard.Class, error) {
 	var data []byte
 	var err error
@@ -47,7 +49,7 @@
 	Version int64  `default:"-1" help:"Version that the file is based on; without it, the version in force when the command starts."`
 }
 
-// Run puts the class in force.
+// Run writes the class if its version is still the one that the file is based on.
 func (p *classPut) Run(s *invocation) error {
 	c, err := readClass(p.File)
 	if err != nil {
@@ -68,6 +70,7 @@
 	})
 }
 
+// currentVersion returns the version of a class in force, 0 if the class does not exist.
 func currentVersion(s *invocation, name string) (int64, error) {
 	known, err := s.client.Class(s.context, name)
 	var call *operator.CallError
@@ -81,7 +84,7 @@
 	File string `arg:"" help:"Class file, or - for standard input."`
 }
 
-// Run checks the class file.
+// Run validates the class file locally, without calling an entry instance.
 func (k *classCheck) Run(s *invocation) error {
 	c, err := readClass(k.File)
 	if err != nil {
@@ -92,7 +95,7 @@
 
 type classList struct{}
 
-// Run lists the classes.
+// Run lists all classes with their versions, sites and move limits.
 func (classList) Run(s *invocation) error {
 	status, err := s.client.Status(s.context)
 	if err != nil {
@@ -119,7 +122,8 @@
 	Name string `arg:"" help:"Name of the class."`
 }
 
-// Run shows a class; the output is JSON in either format, as a class file has to be.
+// Run prints a class as a class file, which is JSON in either output format. In the text format the
+// version goes to standard error, so that the output can be edited and put again.
 func (k *classShow) Run(s *invocation) error {
 	known, err := s.client.Class(s.context, k.Name)
 	if err != nil {
@@ -138,12 +142,12 @@
 	Version int64  `required:"" help:"Version that was read."`
 }
 
-// Run deletes a class.
+// Run deletes a class if its version is still the one that was read.
 func (k *classDelete) Run(s *invocation) error {
 	return s.client.DeleteClass(s.context, k.Name, k.Version)
 }
 
-// table writes aligned columns.
+// table writes a header and rows of tab-separated cells as aligned columns.
 func table(w io.Writer, head string, rows func(w io.Writer)) {
 	columns := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(columns, head)
--- a/lovageyard/main.go
+++ b/lovageyard/main.go
@@ -16,14 +16,14 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// Exit statuses besides 0 and settings.ExitUsage.
+// Exit statuses besides 0 and settings.ExitUsage, as described in the package comment.
 const (
 	exitFailed   = 1
 	exitConflict = 3
 	exitNotFound = 4
 )
 
-// options are the commands and settings of the command line.
+// options defines the global flags and the commands.
 type options struct {
 	OperatorAddress []string `default:"127.0.0.1:7003" help:"Operator addresses of entry instances; the next one is tried if one does not answer."`
 	Output          string   `default:"text" enum:"text,json" help:"Output as text or json."`
@@ -40,7 +40,7 @@
 	Status   statusCommand    `cmd:"" help:"Tell how one entry instance and its sites are doing."`
 }
 
-// invocation is what each command works with.
+// invocation holds what is common to all commands: the client of the operator API and the output.
 type invocation struct {
 	context context.Context
 	client  *operator.Client
@@ -48,7 +48,7 @@
 	json    bool
 }
 
-// print writes a value as JSON, or as the text that the function writes.
+// print writes a value as indented JSON if --output is json, and calls text otherwise.
 func (s *invocation) print(value any, text func(w io.Writer)) error {
 	if !s.json {
 		text(s.out)
@@ -72,11 +72,12 @@
 	})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "lovageyard:", err)
-		showWinner(err)
+		printConflict(err)
 		os.Exit(exitStatus(err))
 	}
 }
 
+// exitStatus maps an error to the exit status that the package comment documents.
 func exitStatus(err error) int {
 	var field *class.FieldError
 	if errors.As(err, &field) {
@@ -97,8 +98,8 @@
 	return exitFailed
 }
 
-// showWinner prints the class that a racing operator put in force.
-func showWinner(err error) {
+// printConflict prints the class in force to standard error if a write failed by a version conflict.
+func printConflict(err error) {
 	var call *operator.CallError
 	if !errors.As(err, &call) || call.Problem.Winner == nil {
 		return
--- a/lovageyard/plot.go
+++ b/lovageyard/plot.go
@@ -15,21 +15,21 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Sizes of a chart.
+// Dimensions of a chart.
 const (
 	chartWidth  = 24 * vg.Centimeter
 	chartHeight = 7 * vg.Centimeter
 	legendWidth = 6 * vg.Centimeter
 	lineWidth   = vg.Length(1.2)
-	markWidth   = vg.Length(0.4)
-	// headroom is how far the axis goes above the highest value.
+	changeWidth = vg.Length(0.4)
+	// headroom is the ratio of the axis' upper end to the highest value.
 	headroom = 1.15
 )
 
-// markColor is that of the lines at which beliefs changed.
-var markColor = color.RGBA{R: 0x99, G: 0x99, B: 0x99, A: 0xff}
+// changeColor is the colour of the vertical lines that mark state changes.
+var changeColor = color.RGBA{R: 0x99, G: 0x99, B: 0x99, A: 0xff}
 
-// palette holds the colours of the curves after those that have one of their own.
+// palette holds the colours of the curves whose outcome is not in outcomeColors.
 var palette = []color.Color{
 	color.RGBA{R: 0xd6, G: 0x2d, B: 0x20, A: 0xff},
 	color.RGBA{R: 0x6a, G: 0x3d, B: 0x9a, A: 0xff},
@@ -43,42 +43,42 @@
 	color.RGBA{R: 0x80, G: 0x80, B: 0x00, A: 0xff},
 }
 
-// endColors are the colours of ends that are in most charts.
-var endColors = map[string]color.Color{
-	endInTime: color.RGBA{R: 0x2c, G: 0xa0, B: 0x2c, A: 0xff},
-	endLate:   color.RGBA{R: 0xff, G: 0x7f, B: 0x0e, A: 0xff},
+// outcomeColors fixes the colours of the outcomes that occur in most charts.
+var outcomeColors = map[string]color.Color{
+	outcomeInTime: color.RGBA{R: 0x2c, G: 0xa0, B: 0x2c, A: 0xff},
+	outcomeLate:   color.RGBA{R: 0xff, G: 0x7f, B: 0x0e, A: 0xff},
 }
 
-// curve is one line of a chart: requests by bin.
+// curve is one line of a chart: the requests with one outcome, by bin.
 type curve struct {
-	end  string
-	bins map[int64]int
+	outcome string
+	bins    map[int64]int
 }
 
-// curves returns how the requests of a name ended, by bin: in time, late, then by name.
+// curves returns the outcomes of a name's requests by bin: in time, late, then the others by name.
 func (t *tally) curves(dimension, name string) []curve {
 	var all []curve
 	for key, bins := range t.counts {
 		if key.dimension == dimension && key.name == name {
-			all = append(all, curve{end: key.end, bins: bins})
+			all = append(all, curve{outcome: key.outcome, bins: bins})
 		}
 	}
-	slices.SortFunc(all, func(a, b curve) int { return strings.Compare(orderOf(a.end), orderOf(b.end)) })
+	slices.SortFunc(all, func(a, b curve) int { return strings.Compare(sortKey(a.outcome), sortKey(b.outcome)) })
 	return all
 }
 
-// orderOf returns what sorts the ends of requests.
-func orderOf(end string) string {
-	switch end {
-	case endInTime:
+// sortKey returns the key that curves are sorted by; a space and "!" sort before all letters.
+func sortKey(outcome string) string {
+	switch outcome {
+	case outcomeInTime:
 		return " "
-	case endLate:
+	case outcomeLate:
 		return "!"
 	}
-	return end
+	return outcome
 }
 
-// chart draws how the requests of a name ended, in requests a second, as SVG.
+// chart returns an SVG of the outcomes of a name's requests over time, in requests a second.
 func (t *tally) chart(dimension, name string) (string, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds since " + t.first.UTC().Format(time.RFC3339)
@@ -99,16 +99,16 @@
 		}
 		line.Width = lineWidth
 		line.Color = palette[i%len(palette)]
-		if own := endColors[c.end]; own != nil {
+		if own := outcomeColors[c.outcome]; own != nil {
 			line.Color = own
 		}
 		p.Add(line)
-		legend.Add(c.end, line)
+		legend.Add(c.outcome, line)
 	}
 	p.Y.Max = max(1, highest*headroom)
 	p.X.Min = 0
 	p.X.Max = max(1, t.last.Sub(t.first).Seconds())
-	p.Add(markLines{tally: t})
+	p.Add(changeLines{tally: t})
 	canvas := vgsvg.New(chartWidth, chartHeight)
 	whole := draw.New(canvas)
 	p.Draw(draw.Crop(whole, 0, -legendWidth, 0, 0))
@@ -120,29 +120,29 @@
 	return out.String(), nil
 }
 
-// points returns a curve's points; a bin without requests is 0.
+// points returns one point for each bin, 0 for a bin without requests.
 func (t *tally) points(bins map[int64]int) plotter.XYs {
 	var points plotter.XYs
-	for bin := t.bin(t.first); bin <= t.bin(t.last); bin++ {
-		begin := time.Unix(0, bin*int64(t.width))
+	for bin := t.binOf(t.first); bin <= t.binOf(t.last); bin++ {
+		start := time.Unix(0, bin*int64(t.width))
 		points = append(points, plotter.XY{
-			X: max(0, begin.Sub(t.first).Seconds()),
+			X: max(0, start.Sub(t.first).Seconds()),
 			Y: float64(bins[bin]) / t.width.Seconds(),
 		})
 	}
 	return points
 }
 
-// markLines draws a thin line at each change of belief.
-type markLines struct {
+// changeLines draws a dashed vertical line at each state change.
+type changeLines struct {
 	tally *tally
 }
 
-// Plot draws the lines; it belongs to plot.Plotter.
-func (m markLines) Plot(c draw.Canvas, p *plot.Plot) {
+// Plot draws the lines over the canvas' whole height; it implements plot.Plotter.
+func (m changeLines) Plot(c draw.Canvas, p *plot.Plot) {
 	x, _ := p.Transforms(&c)
-	style := draw.LineStyle{Color: markColor, Width: markWidth, Dashes: []vg.Length{2, 2}}
-	for _, change := range m.tally.sortedMarks() {
+	style := draw.LineStyle{Color: changeColor, Width: changeWidth, Dashes: []vg.Length{2, 2}}
+	for _, change := range m.tally.sortedChanges() {
 		at := x(change.First.Sub(m.tally.first).Seconds())
 		c.StrokeLine2(style, at, c.Min.Y, at, c.Max.Y)
 	}
--- a/lovageyard/report.go
+++ b/lovageyard/report.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxCharts bounds the charts of one dimension, those with most requests that were not answered
-// in time first; the tables list all names.
+// maxCharts is the maximum number of charts of one dimension. They are of the names with the most
+// requests that were not answered in time; the tables list all names.
 const maxCharts = 12
 
 type reportCommand struct {
@@ -20,55 +20,55 @@
 	Bin   time.Duration `default:"1s" help:"Width of the bins of time; long logs get wider ones."`
 }
 
-// Run writes one page of tables and charts on how requests ended, from logs read in one pass.
+// Run writes an HTML page with tables and charts of request outcomes, from logs read in one pass.
 func (r *reportCommand) Run(s *invocation) error {
 	if r.Bin <= 0 {
 		return errors.New("--bin: more than 0s")
 	}
 	counts := newTally(r.Bin)
-	bad, err := scanLogs(r.Files, os.Stdin, counts.add)
+	malformed, err := scanLogs(r.Files, os.Stdin, counts.add)
 	if err != nil {
 		return err
 	}
 	if counts.requests == 0 {
-		return errors.Errorf("no line tells of a request (%d lines not understood)", bad)
+		return errors.Errorf("the logs hold no request (%d malformed lines)", malformed)
 	}
 	file, err := os.Create(r.Page)
 	if err != nil {
 		return errors.Wrap(err, "--page")
 	}
 	defer file.Close()
-	if err := writePage(file, counts, bad); err != nil {
+	if err := writePage(file, counts, malformed); err != nil {
 		return errors.Wrap(err, "--page")
 	}
 	if err := file.Close(); err != nil {
 		return errors.Wrap(err, "--page")
 	}
-	written := reportWritten{Page: r.Page, Requests: counts.requests, BadLines: bad}
+	written := reportSummary{Page: r.Page, Requests: counts.requests, BadLines: malformed}
 	return s.print(written, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: %d requests, %d lines not understood\n", r.Page, counts.requests, bad)
+		fmt.Fprintf(w, "%s: %d requests, %d malformed lines\n", r.Page, counts.requests, malformed)
 	})
 }
 
-// reportWritten tells of a page that was written.
-type reportWritten struct {
+// reportSummary is the command's result in JSON output.
+type reportSummary struct {
 	Page     string `json:"page"`
 	Requests int    `json:"requests"`
 	BadLines int    `json:"bad-lines"`
 }
 
-// page is what the template shows.
+// page is the data of pageTemplate.
 type page struct {
 	First, Last   time.Time
 	Bin           time.Duration
 	Requests, Bad int
 	Overview      template.HTML
 	Sections      []section
-	Marks         []mark
+	Marks         []stateChange
 	DroppedMarks  int
 }
 
-// section is one dimension's table and charts.
+// section holds the table and the charts of one dimension.
 type section struct {
 	Title  string
 	Totals []total
@@ -80,17 +80,17 @@
 	SVG  template.HTML
 }
 
-// writePage writes a page that opens without a network.
-func writePage(w io.Writer, t *tally, bad int) error {
+// writePage writes a self-contained page: it refers to no other file and no network address.
+func writePage(w io.Writer, t *tally, malformed int) error {
 	overview, err := t.chart(byAll, byAll)
 	if err != nil {
 		return err
 	}
 	p := page{
-		First: t.first.UTC(), Last: t.last.UTC(), Bin: t.width, Requests: t.requests, Bad: bad,
-		// The charts are drawn here and hold names only as escaped text.
+		First: t.first.UTC(), Last: t.last.UTC(), Bin: t.width, Requests: t.requests, Bad: malformed,
+		// The SVG needs no escaping: the chart library escapes the names in it.
 		Overview: template.HTML(overview),
-		Marks:    t.sortedMarks(), DroppedMarks: t.dropped,
+		Marks:    t.sortedChanges(), DroppedMarks: t.dropped,
 	}
 	for _, dimension := range []string{byClass, byRegion, bySite, byAccount} {
 		s, err := t.section(dimension)
@@ -123,7 +123,7 @@
 <html lang="en">
 <head>
 <meta charset="utf-8">
-<title>lovageyard: how requests ended</title>
+<title>lovageyard: request outcomes</title>
 <style>
 body { font-family: sans-serif; margin: 2em; max-width: 70em; }
 table { border-collapse: collapse; margin: 1em 0; }
@@ -132,9 +132,9 @@
 </style>
 </head>
 <body>
-<h1>How requests ended</h1>
-<p>{{.First.Format "2006-01-02 15:04:05"}} to {{.Last.Format "2006-01-02 15:04:05"}} UTC, bins of {{.Bin}}: {{.Requests}} requests; {{.Bad}} lines were not understood.
-Times are those of the entry instances, without the way to the client. Dashed lines are changes of what instances believe.</p>
+<h1>Request outcomes</h1>
+<p>{{.First.Format "2006-01-02 15:04:05"}} to {{.Last.Format "2006-01-02 15:04:05"}} UTC, bins of {{.Bin}}: {{.Requests}} requests; {{.Bad}} malformed lines.
+Times are measured at the entry instances and exclude the network to the client. Dashed lines mark state changes of instances.</p>
 {{.Overview}}
 {{range .Sections}}<h2>By {{.Title}}</h2>
 <table><tr><th>{{.Title}}</th><th>requests</th><th>in time</th><th>late</th><th>refused</th><th>failed, rejected or client gone</th></tr>
@@ -142,7 +142,7 @@
 {{end}}</table>
 {{range .Charts}}<h3>{{.Name}}</h3>
 {{.SVG}}
-{{end}}{{end}}<h2>Changes of belief</h2>
+{{end}}{{end}}<h2>State changes</h2>
 {{if .DroppedMarks}}<p>{{.DroppedMarks}} more are not shown.</p>{{end}}
 <table><tr><th>first seen</th><th>change</th><th>instances</th></tr>
 {{range .Marks}}<tr><td>{{.First.UTC.Format "15:04:05.000"}}</td><td>{{.Text}}</td><td>{{.Instances}}</td></tr>
--- a/lovageyard/report_test.go
+++ b/lovageyard/report_test.go
@@ -13,7 +13,7 @@
 
 var reportStart = time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 
-// requestLine is a line that tells how a request ended.
+// requestLine returns the log line of a request's outcome.
 func requestLine(at time.Duration, rest string) string {
 	return fmt.Sprintf(`{"time":"%s","instance":"a","msg":"request","route":"r","site":"desk@n",%s}`+"\n",
 		reportStart.Add(at).Format(time.RFC3339Nano), rest)
@@ -26,7 +26,7 @@
 	return t, bad
 }
 
-func TestRequestsAreCountedByHowTheyEnded(t *testing.T) {
+func TestRequestsAreCountedByOutcome(t *testing.T) {
 	c := qt.New(t)
 	counts, bad := tallyOf(c, time.Second, `{"time":"2026-12-02T10:00:00Z","instance":"a","msg":"started","region":"north"}
 not a line
@@ -42,10 +42,10 @@
 		want.Name = name
 		c.Assert(counts.totals(dimension), qt.DeepEquals, []total{want})
 	}
-	c.Assert(counts.sortedMarks(), qt.DeepEquals, []mark{{Text: "started", First: reportStart, Instances: 1}})
+	c.Assert(counts.sortedChanges(), qt.DeepEquals, []stateChange{{Text: "started", First: reportStart, Instances: 1}})
 }
 
-// Memory must not grow with the length of a log: bins become wider, and no count is lost.
+// Memory must not grow with the length of a log. Doubling the bins' width must lose no count.
 func TestLongLogsGetWiderBins(t *testing.T) {
 	c := qt.New(t)
 	var text strings.Builder
@@ -61,20 +61,20 @@
 	for _, bins := range counts.counts {
 		c.Assert(len(bins) <= maxBins, qt.IsTrue)
 	}
-	c.Assert(len(counts.sortedMarks()), qt.Equals, maxMarks)
-	c.Assert(counts.dropped, qt.Equals, requests-maxMarks)
+	c.Assert(len(counts.sortedChanges()), qt.Equals, maxChanges)
+	c.Assert(counts.dropped, qt.Equals, requests-maxChanges)
 }
 
-func TestALineThatIsTooLongIsCountedAndPassedOver(t *testing.T) {
+func TestOverlongLineIsSkippedAndCounted(t *testing.T) {
 	c := qt.New(t)
-	long := `{"msg":"` + strings.Repeat("x", 3*maxLine) + `"}` + "\n"
+	long := `{"msg":"` + strings.Repeat("x", 3*maxLineBytes) + `"}` + "\n"
 	counts, bad := tallyOf(c, time.Second, long+requestLine(0, `"outcome":"answered","status":200`))
 	c.Assert(bad, qt.Equals, 1)
 	c.Assert(counts.requests, qt.Equals, 1)
 }
 
-// Names come from logs, and may hold anything.
-func TestPageOpensAlone(t *testing.T) {
+// Names come from logs and may contain markup, which must be escaped in the page.
+func TestReportPageIsSelfContained(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
 	log := filepath.Join(dir, "log")
@@ -94,10 +94,10 @@
 	c.Assert(out.String(), qt.Contains, "2 requests")
 
 	command.Files = []string{os.DevNull}
-	c.Assert(command.Run(&invocation{out: &out}), qt.ErrorMatches, "no line tells of a request.*")
+	c.Assert(command.Run(&invocation{out: &out}), qt.ErrorMatches, "the logs hold no request.*")
 }
 
-// Operators see at once which client accounts are refused, and why.
+// The page has a section for client accounts if a request has one, and none otherwise.
 func TestRequestsAreCountedByAccount(t *testing.T) {
 	c := qt.New(t)
 	counts, _ := tallyOf(c, time.Second, requestLine(0, `"outcome":"refused","status":429,"cause":"limit","account":"a"`)+
--- a/lovageyard/show.go
+++ b/lovageyard/show.go
@@ -17,7 +17,7 @@
 	All bool `help:"List classes at rest too."`
 }
 
-// Run lists the moves.
+// Run lists the moves under way, with --all also the classes that don't move.
 func (m *moveList) Run(s *invocation) error {
 	status, err := s.client.Status(s.context)
 	if err != nil {
@@ -47,6 +47,7 @@
 		timeText(m.Move.EndsAt), timeText(m.Move.EmptyBy), m.Move.InTime, m.Move.Reason)
 }
 
+// timeText formats a time, and the zero time as "-".
 func timeText(t time.Time) string {
 	if t.IsZero() {
 		return "-"
@@ -60,7 +61,7 @@
 
 type instanceList struct{}
 
-// Run lists the entry instances.
+// Run lists the entry instances that the contacted one knows.
 func (instanceList) Run(s *invocation) error {
 	status, err := s.client.Status(s.context)
 	if err != nil {
@@ -81,7 +82,7 @@
 	Client string `required:"" help:"IP address of the client."`
 }
 
-// Run explains where a request goes.
+// Run prints the site that a client's requests are routed to, and the plan that decides it.
 func (e *explainCommand) Run(s *invocation) error {
 	x, err := s.client.Explain(s.context, e.Class, e.Client)
 	if err != nil {
@@ -98,7 +99,7 @@
 
 type statusCommand struct{}
 
-// Run shows the status of one entry instance.
+// Run prints the status of one entry instance, with its planners and its pools of servers by site.
 func (statusCommand) Run(s *invocation) error {
 	status, err := s.client.Status(s.context)
 	if err != nil {
--- a/lovageyard/site.go
+++ b/lovageyard/site.go
@@ -19,9 +19,9 @@
 	By   string `help:"When the site has to be empty: a time such as 2026-12-02T18:00:00Z, or a span from now such as 30m."`
 }
 
-// Run orders the drain and tells what the plan says of it.
+// Run starts the drain and returns once it is accepted; the moves go on in the background.
 func (d *siteDrain) Run(s *invocation) error {
-	by, err := parseBy(d.By, time.Now())
+	by, err := parseDeadline(d.By, time.Now())
 	if err != nil {
 		return err
 	}
@@ -30,23 +30,25 @@
 	}
 	order := lovageyard.SiteOrder{Site: d.Name, Draining: true, EmptyBy: by}
 	return s.print(order, func(w io.Writer) {
-		fmt.Fprintf(w, "site %s is to be empty%s; \"lovageyard move list\" tells how far it is\n", d.Name, byText(by))
+		fmt.Fprintf(w, "draining site %s%s; \"lovageyard move list\" shows the progress\n", d.Name, deadlineText(by))
 	})
 }
 
-func byText(by time.Time) string {
+// deadlineText formats the drain's deadline for a message; it is empty without a deadline.
+func deadlineText(by time.Time) string {
 	if by.IsZero() {
 		return ""
 	}
 	return " by " + by.Format(time.RFC3339)
 }
 
-func parseBy(text string, now time.Time) (time.Time, error) {
+// parseDeadline parses --by, a time or a duration from now. An empty text gives the zero time, no deadline.
+func parseDeadline(text string, now time.Time) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
-	if span, err := time.ParseDuration(text); err == nil && span > 0 {
-		return now.Add(span), nil
+	if duration, err := time.ParseDuration(text); err == nil && duration > 0 {
+		return now.Add(duration), nil
 	}
 	by, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -59,12 +61,12 @@
 	Name string `arg:"" help:"Name of the site."`
 }
 
-// Run lifts the drain.
+// Run ends the drain of the site; the planner may move work back to it.
 func (r *siteRestore) Run(s *invocation) error {
 	if err := s.client.Restore(s.context, r.Name); err != nil {
 		return err
 	}
 	return s.print(lovageyard.SiteOrder{Site: r.Name}, func(w io.Writer) {
-		fmt.Fprintf(w, "work may come back to site %s\n", r.Name)
+		fmt.Fprintf(w, "drain of site %s ended; work may move back to it\n", r.Name)
 	})
 }
--- a/lovageyard/tally.go
+++ b/lovageyard/tally.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Bounds of a tally, which keep its memory flat whatever the size of the logs.
+// Limits of a tally, which keep its memory constant however large the logs are.
 const (
-	// maxBins is the number of bins of time after which bins become twice as wide.
+	// maxBins is the number of time bins at which the width of bins is doubled.
 	maxBins = 600
-	// maxNames bounds the names of one dimension that are kept apart; further ones are one.
+	// maxNames is the maximum number of names of one dimension that are counted separately.
 	maxNames = 200
-	// maxMarks bounds the changes of belief that are kept.
-	maxMarks = 400
-	// otherName stands for the names beyond maxNames.
-	otherName = "(others)"
-	unknown   = "(unknown)"
+	// maxChanges is the maximum number of state changes that are kept.
+	maxChanges = 400
+	// otherName collects the requests of the names beyond maxNames.
+	otherName   = "(others)"
+	unknownName = "(unknown)"
 )
 
-// The dimensions that requests are counted by.
+// Dimensions that requests are grouped by.
 const (
 	byAll     = "all"
 	byClass   = "class"
@@ -29,40 +29,40 @@
 	byAccount = "client account"
 )
 
-// The ways in which requests end. Refused ones have their cause after the colon.
+// Outcomes of requests. That of a refused request is followed by its cause.
 const (
-	endInTime   = "in time"
-	endLate     = "late"
-	endRefused  = "refused: "
-	endFailed   = "failed"
-	endGone     = "client gone"
-	endRejected = "rejected"
+	outcomeInTime     = "in time"
+	outcomeLate       = "late"
+	outcomeRefused    = "refused: "
+	outcomeFailed     = "failed"
+	outcomeClientGone = "client gone"
+	outcomeRejected   = "rejected"
 )
 
-// countKey is what requests are counted under, in each bin.
+// countKey identifies one series of counts by bin.
 type countKey struct {
-	dimension, name, end string
+	dimension, name, outcome string
 }
 
-// mark is a change of belief, of one or several instances in one bin.
-type mark struct {
+// stateChange is a state change that one or several instances logged in the same bin.
+type stateChange struct {
 	Text      string
 	First     time.Time
 	Instances int
 }
 
-// tally counts the requests of logs by time, class, region, site and client account.
+// tally counts requests by outcome, time, class, region, site and client account.
 type tally struct {
-	// width is that of a bin of time; bins are numbered since 1970.
+	// width is the duration of a bin; bins are numbered from the Unix epoch, 1970.
 	width  time.Duration
 	counts map[countKey]map[int64]int
-	// names holds the names of each dimension that are kept apart.
+	// names holds the names of each dimension that are counted separately.
 	names map[string]map[string]bool
-	// regions holds the region of each instance whose start was in the logs.
+	// regions maps an instance to its region, which only the line of its start names.
 	regions map[string]string
-	// marks holds the changes of each bin, by their text.
-	marks map[int64]map[string]*mark
-	// requests counts the requests.
+	// changes holds the state changes of each bin by text.
+	changes map[int64]map[string]*stateChange
+	// requests is the number of requests in all bins.
 	requests int
 	// dropped counts the changes beyond maxMarks.
 	dropped     int
@@ -75,11 +75,11 @@
 		counts:  make(map[countKey]map[int64]int),
 		names:   make(map[string]map[string]bool),
 		regions: make(map[string]string),
-		marks:   make(map[int64]map[string]*mark),
+		changes: make(map[int64]map[string]*stateChange),
 	}
 }
 
-// add takes in one line.
+// add counts one line: a request by its outcome, any other as a state change. Lines without a time are ignored.
 func (t *tally) add(l logLine) {
 	if l.Time.IsZero() {
 		return
@@ -87,51 +87,51 @@
 	if l.Region != "" && l.Instance != "" {
 		t.regions[l.Instance] = l.Region
 	}
-	t.extend(l.Time)
+	t.coverTime(l.Time)
 	if !l.isRequest() {
-		t.addMark(l)
+		t.addChange(l)
 		return
 	}
-	end := endOf(l)
-	if end == "" {
+	outcome := outcomeOf(l)
+	if outcome == "" {
 		return
 	}
 	t.requests++
-	t.count(byAll, byAll, end, l.Time)
-	t.count(byClass, l.Route, end, l.Time)
-	t.count(byRegion, t.regions[l.Instance], end, l.Time)
+	t.count(byAll, byAll, outcome, l.Time)
+	t.count(byClass, l.Route, outcome, l.Time)
+	t.count(byRegion, t.regions[l.Instance], outcome, l.Time)
 	if l.Site != "" {
-		t.count(bySite, l.Site, end, l.Time)
+		t.count(bySite, l.Site, outcome, l.Time)
 	}
 	if l.Account != "" {
-		t.count(byAccount, l.Account, end, l.Time)
+		t.count(byAccount, l.Account, outcome, l.Time)
 	}
 }
 
-// endOf returns how a request ended, or "" if the line tells of no end.
-func endOf(l logLine) string {
+// outcomeOf returns the outcome of a request, or "" if the line is of an attempt that was repeated.
+func outcomeOf(l logLine) string {
 	switch l.Outcome {
 	case "answered":
 		switch {
 		case l.Status >= 500:
-			return endFailed
+			return outcomeFailed
 		case l.GoalMs > 0 && l.ElapsedMs > l.GoalMs:
-			return endLate
+			return outcomeLate
 		}
-		return endInTime
+		return outcomeInTime
 	case "refused":
 		if l.Cause == "" {
-			return endRefused + addresses.ReplaceAllString(l.Reason, "ADDRESS")
+			return outcomeRefused + addressPattern.ReplaceAllString(l.Reason, "ADDRESS")
 		}
-		return endRefused + l.Cause
-	case endFailed, endGone, endRejected:
+		return outcomeRefused + l.Cause
+	case outcomeFailed, outcomeClientGone, outcomeRejected:
 		return l.Outcome
 	}
 	return ""
 }
 
-// extend widens the bins until the time fits.
-func (t *tally) extend(at time.Time) {
+// coverTime extends the range of times to one, and widens the bins until at most maxBins cover it.
+func (t *tally) coverTime(at time.Time) {
 	if t.first.IsZero() || at.Before(t.first) {
 		t.first = at
 	}
@@ -139,41 +139,41 @@
 		t.last = at
 	}
 	for t.last.Sub(t.first)/t.width >= maxBins {
-		t.widen()
+		t.widenBins()
 	}
 }
 
-// widen makes bins twice as wide.
-func (t *tally) widen() {
+// widenBins doubles the width of bins and merges the counts and state changes of each two.
+func (t *tally) widenBins() {
 	t.width *= 2
 	for _, bins := range t.counts {
 		for _, bin := range slices.Sorted(maps.Keys(bins)) {
 			n := bins[bin]
 			delete(bins, bin)
-			bins[half(bin)] += n
+			bins[widenedBin(bin)] += n
 		}
 	}
-	for _, bin := range slices.Sorted(maps.Keys(t.marks)) {
-		old := t.marks[bin]
-		delete(t.marks, bin)
-		for text, m := range old {
-			t.mergeMark(half(bin), text, *m)
+	for _, bin := range slices.Sorted(maps.Keys(t.changes)) {
+		old := t.changes[bin]
+		delete(t.changes, bin)
+		for text, change := range old {
+			t.mergeChange(widenedBin(bin), text, *change)
 		}
 	}
 }
 
-// half returns the bin of twice the width that a bin is part of.
-func half(bin int64) int64 {
+// widenedBin returns the bin of twice the width that contains a bin.
+func widenedBin(bin int64) int64 {
 	return bin >> 1
 }
 
-func (t *tally) bin(at time.Time) int64 {
+func (t *tally) binOf(at time.Time) int64 {
 	return at.UnixNano() / int64(t.width)
 }
 
-func (t *tally) count(dimension, name, end string, at time.Time) {
+func (t *tally) count(dimension, name, outcome string, at time.Time) {
 	if name == "" {
-		name = unknown
+		name = unknownName
 	}
 	known := t.names[dimension]
 	if known == nil {
@@ -184,61 +184,61 @@
 		name = otherName
 	}
 	known[name] = true
-	key := countKey{dimension: dimension, name: name, end: end}
+	key := countKey{dimension: dimension, name: name, outcome: outcome}
 	bins := t.counts[key]
 	if bins == nil {
 		bins = make(map[int64]int)
 		t.counts[key] = bins
 	}
-	bins[t.bin(at)]++
+	bins[t.binOf(at)]++
 }
 
-// addMark notes a change of belief; the same change at several instances in one bin is one mark.
-func (t *tally) addMark(l logLine) {
+// addChange records a state change; changes of several instances with the same text in one bin are merged.
+func (t *tally) addChange(l logLine) {
 	text := l.Message
 	if l.Error != "" {
-		text += ": " + addresses.ReplaceAllString(l.Error, "ADDRESS")
+		text += ": " + addressPattern.ReplaceAllString(l.Error, "ADDRESS")
 	}
-	t.mergeMark(t.bin(l.Time), text, mark{Text: text, First: l.Time, Instances: 1})
+	t.mergeChange(t.binOf(l.Time), text, stateChange{Text: text, First: l.Time, Instances: 1})
 }
 
-func (t *tally) mergeMark(bin int64, text string, m mark) {
-	marks := t.marks[bin]
-	if marks == nil {
-		marks = make(map[string]*mark)
-		t.marks[bin] = marks
+func (t *tally) mergeChange(bin int64, text string, change stateChange) {
+	changes := t.changes[bin]
+	if changes == nil {
+		changes = make(map[string]*stateChange)
+		t.changes[bin] = changes
 	}
-	if known := marks[text]; known != nil {
-		known.Instances += m.Instances
-		if m.First.Before(known.First) {
-			known.First = m.First
+	if known := changes[text]; known != nil {
+		known.Instances += change.Instances
+		if change.First.Before(known.First) {
+			known.First = change.First
 		}
 		return
 	}
-	if t.markCount() >= maxMarks {
-		t.dropped += m.Instances
+	if t.changeCount() >= maxChanges {
+		t.dropped += change.Instances
 		return
 	}
-	marks[text] = &m
+	changes[text] = &change
 }
 
-func (t *tally) markCount() int {
+func (t *tally) changeCount() int {
 	n := 0
-	for _, marks := range t.marks {
-		n += len(marks)
+	for _, changes := range t.changes {
+		n += len(changes)
 	}
 	return n
 }
 
-// sortedMarks returns the marks in the order of their times.
-func (t *tally) sortedMarks() []mark {
-	var sorted []mark
-	for _, marks := range t.marks {
-		for _, m := range marks {
-			sorted = append(sorted, *m)
+// sortedChanges returns the state changes ordered by time.
+func (t *tally) sortedChanges() []stateChange {
+	var sorted []stateChange
+	for _, changes := range t.changes {
+		for _, change := range changes {
+			sorted = append(sorted, *change)
 		}
 	}
-	slices.SortFunc(sorted, func(a, b mark) int {
+	slices.SortFunc(sorted, func(a, b stateChange) int {
 		if c := a.First.Compare(b.First); c != 0 {
 			return c
 		}
@@ -247,14 +247,14 @@
 	return sorted
 }
 
-// total is how the requests of one name ended.
+// total holds the number of a name's requests by outcome.
 type total struct {
 	Name                                   string
 	Requests, InTime, Late, Refused, Other int
 }
 
-// totals returns the sums of a dimension, those with most requests that were not answered in
-// time first.
+// totals returns the totals of a dimension's names, ordered by descending number of requests that were
+// not answered in time.
 func (t *tally) totals(dimension string) []total {
 	sums := make(map[string]*total)
 	for key, bins := range t.counts {
@@ -267,7 +267,7 @@
 			sums[key.name] = sum
 		}
 		for _, n := range bins {
-			sum.add(key.end, n)
+			sum.add(key.outcome, n)
 		}
 	}
 	var sorted []total
@@ -283,14 +283,14 @@
 	return sorted
 }
 
-func (s *total) add(end string, n int) {
+func (s *total) add(outcome string, n int) {
 	s.Requests += n
 	switch {
-	case end == endInTime:
+	case outcome == outcomeInTime:
 		s.InTime += n
-	case end == endLate:
+	case outcome == outcomeLate:
 		s.Late += n
-	case strings.HasPrefix(end, endRefused):
+	case strings.HasPrefix(outcome, outcomeRefused):
 		s.Refused += n
 	default:
 		s.Other += n
--- a/lovageyard/trace.go
+++ b/lovageyard/trace.go
@@ -12,52 +12,53 @@
 	"github.com/pkg/errors"
 )
 
-// traceBefore is how far before a request's end the changes of belief are shown that may
-// explain it; they are rare.
-const traceBefore = 10 * time.Second
+// traceWindow is the time before a request's end from which a trace includes state changes of the
+// instance, as possible causes. State changes are rare, so a long window adds few lines.
+const traceWindow = 10 * time.Second
 
 type traceCommand struct {
 	ID    string   `arg:"" help:"Identity of the request, as in its answer."`
 	Files []string `arg:"" optional:"" help:"Log files of entry instances; standard input if there are none."`
 }
 
-// Run prints one request's story, and what its instance came to believe shortly before.
+// Run prints the lines of one request, and the state changes of its instances shortly before its end.
 func (t *traceCommand) Run(s *invocation) error {
 	read, err := readLogs(t.Files, os.Stdin)
 	if err != nil {
 		return err
 	}
-	story := read.story(t.ID)
-	if len(story) == 0 {
-		return errors.Errorf("no line tells of request %s (%d lines read, %d not understood)", t.ID, len(read.lines), read.bad)
+	lines := read.requestTrace(t.ID)
+	if len(lines) == 0 {
+		return errors.Errorf("request %s is not in the logs (%d lines read, %d malformed)", t.ID, len(read.lines), read.malformed)
 	}
-	return s.print(story, func(w io.Writer) {
-		for _, l := range story {
+	return s.print(lines, func(w io.Writer) {
+		for _, l := range lines {
 			printLine(w, l)
 		}
-		if read.bad > 0 {
-			fmt.Fprintf(w, "%d lines were not understood\n", read.bad)
+		if read.malformed > 0 {
+			fmt.Fprintf(w, "%d malformed lines\n", read.malformed)
 		}
 	})
 }
 
-// story returns the lines of a request, and the changes of belief of its instances before its end.
-func (l *logs) story(id string) []logLine {
-	ends := make(map[string]time.Time)
+// requestTrace returns the lines of a request, and the state changes of its instances in the traceWindow
+// before its end.
+func (l *logs) requestTrace(id string) []logLine {
+	endTimes := make(map[string]time.Time)
 	for _, line := range l.lines {
 		if line.RequestID == id {
-			ends[line.Instance] = line.Time
+			endTimes[line.Instance] = line.Time
 		}
 	}
-	var story []logLine
+	var trace []logLine
 	for _, line := range l.lines {
-		end, involved := ends[line.Instance]
+		end, involved := endTimes[line.Instance]
 		before := end.Sub(line.Time)
-		if line.RequestID == id || involved && !line.isRequest() && before >= 0 && before <= traceBefore {
-			story = append(story, line)
+		if line.RequestID == id || involved && !line.isRequest() && before >= 0 && before <= traceWindow {
+			trace = append(trace, line)
 		}
 	}
-	return story
+	return trace
 }
 
 func printLine(w io.Writer, l logLine) {
@@ -82,7 +83,7 @@
 		fmt.Fprintf(w, "    route %s, service %s, configuration %d, %d ms left\n", l.Route, l.Service, l.Version, l.LeftMs)
 	}
 	if l.Server != "" {
-		fmt.Fprintf(w, "    server %s of %s: expected in %d ms, of which %d ms wait, load %.1f as told %d ms before; verdict %s\n",
+		fmt.Fprintf(w, "    server %s of %s: expected in %d ms, of which %d ms wait, load %.1f as reported %d ms earlier; verdict %s\n",
 			l.Server, l.Site, l.ExpectedMs, l.WaitMs, l.Load, l.LoadAgeMs, l.Verdict)
 	}
 }
@@ -93,10 +94,10 @@
 	To    time.Time `help:"Last moment to sum up."`
 }
 
-// incident is what happened in a span of time.
+// incident summarizes the logs of a period.
 type incident struct {
 	Requests int `json:"requests"`
-	// Outcomes counts requests by service, outcome, status and reason, the most frequent first.
+	// Outcomes counts requests by service, outcome, status and reason, in descending order of the count.
 	Outcomes []outcomeCount `json:"outcomes"`
 	Changes  []logLine      `json:"changes"`
 	BadLines int            `json:"bad-lines"`
@@ -110,57 +111,57 @@
 	Count   int    `json:"count"`
 }
 
-// Run sums up what was refused and why, and what instances came to believe.
+// Run prints the counts of request outcomes with their reasons, and all state changes of instances.
 func (i *incidentCommand) Run(s *invocation) error {
 	read, err := readLogs(i.Files, os.Stdin)
 	if err != nil {
 		return err
 	}
-	sum := read.sumUp(i.From, i.To)
-	return s.print(sum, func(w io.Writer) {
-		fmt.Fprintf(w, "%d requests\n", sum.Requests)
-		for _, c := range sum.Outcomes {
+	summary := read.summarize(i.From, i.To)
+	return s.print(summary, func(w io.Writer) {
+		fmt.Fprintf(w, "%d requests\n", summary.Requests)
+		for _, c := range summary.Outcomes {
 			fmt.Fprintf(w, "%8d  %-12s %-10s %3d  %s\n", c.Count, c.Service, c.Outcome, c.Status, c.Reason)
 		}
-		for _, l := range sum.Changes {
+		for _, l := range summary.Changes {
 			printLine(w, l)
 		}
-		if sum.BadLines > 0 {
-			fmt.Fprintf(w, "%d lines were not understood\n", sum.BadLines)
+		if summary.BadLines > 0 {
+			fmt.Fprintf(w, "%d malformed lines\n", summary.BadLines)
 		}
 	})
 }
 
-// addresses are what reasons of failed connections name: one address, or both ends.
-var addresses = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+(->\d+\.\d+\.\d+\.\d+:\d+)?`)
+// addressPattern matches the addresses in the reasons of failed connections: one address, or both ends.
+var addressPattern = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+(->\d+\.\d+\.\d+\.\d+:\d+)?`)
 
-// sumUp sums up the lines from one time to another; a zero time sets no bound.
-func (l *logs) sumUp(from, to time.Time) incident {
-	sum := incident{BadLines: l.bad}
+// summarize summarizes the lines between two times; a zero time sets no bound.
+func (l *logs) summarize(from, to time.Time) incident {
+	summary := incident{BadLines: l.malformed}
 	counts := make(map[outcomeCount]int)
 	for _, line := range l.lines {
 		if line.Time.Before(from) || !to.IsZero() && line.Time.After(to) {
 			continue
 		}
 		if !line.isRequest() {
-			sum.Changes = append(sum.Changes, line)
+			summary.Changes = append(summary.Changes, line)
 			continue
 		}
 		if line.Outcome != "repeated" {
-			sum.Requests++
+			summary.Requests++
 		}
-		reason := addresses.ReplaceAllString(line.Reason, "ADDRESS")
+		reason := addressPattern.ReplaceAllString(line.Reason, "ADDRESS")
 		counts[outcomeCount{Service: line.Service, Outcome: line.Outcome, Status: line.Status, Reason: reason}]++
 	}
 	for c, n := range counts {
 		c.Count = n
-		sum.Outcomes = append(sum.Outcomes, c)
+		summary.Outcomes = append(summary.Outcomes, c)
 	}
-	slices.SortFunc(sum.Outcomes, func(a, b outcomeCount) int {
+	slices.SortFunc(summary.Outcomes, func(a, b outcomeCount) int {
 		if a.Count != b.Count {
 			return b.Count - a.Count
 		}
 		return strings.Compare(a.Service+a.Outcome+a.Reason, b.Service+b.Outcome+b.Reason)
 	})
-	return sum
+	return summary
 }
--- a/lovageyard/trace_test.go
+++ b/lovageyard/trace_test.go
@@ -28,24 +28,24 @@
 	return read
 }
 
-func TestStoryOfARequest(t *testing.T) {
+func TestTraceOfARequest(t *testing.T) {
 	c := qt.New(t)
 	var out strings.Builder
-	for _, l := range readSample(c).story("x") {
+	for _, l := range readSample(c).requestTrace("x") {
 		printLine(&out, l)
 	}
 	c.Assert(out.String(), qt.Equals, `10:00:00.100 a: platform lost: timeout
 10:00:01.000 a: repeated after 0 ms, attempt 1: the server answered 500
-    server s-1 of desk@n: expected in 0 ms, of which 0 ms wait, load 0.0 as told 0 ms before; verdict ran
+    server s-1 of desk@n: expected in 0 ms, of which 0 ms wait, load 0.0 as reported 0 ms earlier; verdict ran
 10:00:01.200 a: answered with 200 after 200 ms, attempt 2: least expected time
     route r, service desk, configuration 0, 0 ms left
-    server s-2 of desk@n: expected in 0 ms, of which 0 ms wait, load 0.0 as told 0 ms before; verdict ran
+    server s-2 of desk@n: expected in 0 ms, of which 0 ms wait, load 0.0 as reported 0 ms earlier; verdict ran
 `)
-	c.Assert(readSample(c).story("unknown"), qt.HasLen, 0)
+	c.Assert(readSample(c).requestTrace("unknown"), qt.HasLen, 0)
 }
 
-// Reasons that differ in addresses only are counted together.
-func TestSumOfAnIncidentFoldsAddresses(t *testing.T) {
+// Reasons that differ only in addresses are one row; connection failures would otherwise give one row each.
+func TestIncidentMergesReasonsThatDifferInAddresses(t *testing.T) {
 	c := qt.New(t)
 	var l logs
 	for _, reason := range []string{
@@ -55,17 +55,17 @@
 	} {
 		l.lines = append(l.lines, logLine{Message: "request", Outcome: "failed", Reason: reason})
 	}
-	c.Assert(l.sumUp(time.Time{}, time.Time{}).Outcomes, qt.DeepEquals, []outcomeCount{
+	c.Assert(l.summarize(time.Time{}, time.Time{}).Outcomes, qt.DeepEquals, []outcomeCount{
 		{Outcome: "failed", Reason: "read tcp ADDRESS: read: connection reset by peer", Count: 2},
 		{Outcome: "failed", Reason: "dial tcp ADDRESS: i/o timeout", Count: 1},
 	})
 }
 
-func TestSumOfAnIncident(t *testing.T) {
+func TestIncidentSummary(t *testing.T) {
 	c := qt.New(t)
-	sum := readSample(c).sumUp(time.Time{}, time.Date(2026, 12, 2, 10, 0, 1, 500_000_000, time.UTC))
-	c.Assert(sum.Requests, qt.Equals, 2)
-	c.Assert(sum.Outcomes, qt.HasLen, 3)
-	c.Assert(sum.Changes, qt.HasLen, 2)
-	c.Assert(sum.BadLines, qt.Equals, 2)
+	summary := readSample(c).summarize(time.Time{}, time.Date(2026, 12, 2, 10, 0, 1, 500_000_000, time.UTC))
+	c.Assert(summary.Requests, qt.Equals, 2)
+	c.Assert(summary.Outcomes, qt.HasLen, 3)
+	c.Assert(summary.Changes, qt.HasLen, 2)
+	c.Assert(summary.BadLines, qt.Equals, 2)
 }
