--- a/integration/accounts_test.go
+++ b/integration/accounts_test.go
@@ -14,31 +14,31 @@
 	"lovageyard.example/lovageyard/platform/fake"
 )
 
-// Names of the accounts' service and route.
+// Service and path of the route that requires an account's key.
 const (
 	keyedService = "keyed"
 	keyedPath    = "/keyed/x"
 )
 
-// callers notes what a server was told of its callers.
-type callers struct {
+// callerRecorder counts the requests that a server receives by client account, and those that carry a key.
+type callerRecorder struct {
 	observer
 	mu       sync.Mutex
 	accounts map[string]int
 	keys     int
 }
 
-// Identified notes one request.
-func (o *callers) Identified(_, _, account string, showsKey bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.accounts[account]++
+// Identified records one request that reached the server.
+func (r *callerRecorder) Identified(_, _, account string, showsKey bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.accounts[account]++
 	if showsKey {
-		o.keys++
+		r.keys++
 	}
 }
 
-// configureAccounts puts a configuration in force with a route that needs a key, for some accounts.
+// configureAccounts writes a configuration with one route that requires the key of one of the accounts.
 func (e *edge) configureAccounts(version uint64, accounts ...lovageyard.Account) {
 	e.store.PutConfiguration(lovageyard.Configuration{
 		Version: version,
@@ -51,8 +51,9 @@
 	})
 }
 
-// askAs asks with the key of an account, or with none, and returns the answer's status.
-func (e *edge) askAs(account, id string) int {
+// requestAs sends a request with the key of an account, or without a key if account is empty, and returns
+// the status of the answer.
+func (e *edge) requestAs(account, id string) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+e.address+keyedPath, nil)
 	e.c.Assert(err, qt.IsNil)
 	request.Host = edgeHost
@@ -69,80 +70,80 @@
 	return response.StatusCode
 }
 
-// newAccountEdge returns an instance with the accounts a and b, and what its server was told of callers.
-func newAccountEdge(t *testing.T) (*edge, *callers) {
+// newAccountEdge returns an instance with the accounts a and b, and the recorder of its backend server.
+func newAccountEdge(t *testing.T) (*edge, *callerRecorder) {
 	e := newEdge(t)
-	told := &callers{accounts: make(map[string]int)}
+	recorder := &callerRecorder{accounts: make(map[string]int)}
 	server, err := fake.StartServer(lovageyard.BackendServer{
 		Name: "server-keyed", Service: keyedService, FailureDomain: "north-1", Region: "north", Slots: 50, State: lovageyard.StateLive,
-	}, time.Millisecond, told)
+	}, time.Millisecond, recorder)
 	e.c.Assert(err, qt.IsNil)
 	e.c.Cleanup(server.Close)
 	e.store.PutServer(server.BackendServer)
 	e.configureAccounts(2, lovageyard.Account{Name: "a"}, lovageyard.Account{Name: "b"})
 	keyed := &edge{c: e.c, name: "entry-2", store: e.store, platform: e.platform, leaveWithin: e.leaveWithin}
-	keyed.further = []string{"--revoke-within", "3s", "--apply-within", "3s"}
+	keyed.extraArgs = []string{"--revoke-within", "3s", "--apply-within", "3s"}
 	keyed.start()
-	keyed.until("a key is served", func() bool { return keyed.askAs("a", "first") == http.StatusOK })
-	return keyed, told
+	keyed.until("a request with a key to be served", func() bool { return keyed.requestAs("a", "first") == http.StatusOK })
+	return keyed, recorder
 }
 
-func TestServersGetAccountsAndNoKeys(t *testing.T) {
-	e, told := newAccountEdge(t)
-	e.c.Assert(e.askAs("b", "id-1"), qt.Equals, http.StatusOK)
-	e.c.Assert(e.askAs("", "id-2"), qt.Equals, http.StatusUnauthorized)
-	e.c.Assert(e.askAs("c", "id-3"), qt.Equals, http.StatusUnauthorized)
-	told.mu.Lock()
-	defer told.mu.Unlock()
-	e.c.Assert(told.keys, qt.Equals, 0)
-	e.c.Assert(told.accounts["b"], qt.Equals, 1)
-	e.c.Assert(told.accounts, qt.HasLen, 2)
+func TestServersReceiveAccountsWithoutKeys(t *testing.T) {
+	e, recorder := newAccountEdge(t)
+	e.c.Assert(e.requestAs("b", "id-1"), qt.Equals, http.StatusOK)
+	e.c.Assert(e.requestAs("", "id-2"), qt.Equals, http.StatusUnauthorized)
+	e.c.Assert(e.requestAs("c", "id-3"), qt.Equals, http.StatusUnauthorized)
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	e.c.Assert(recorder.keys, qt.Equals, 0)
+	e.c.Assert(recorder.accounts["b"], qt.Equals, 1)
+	e.c.Assert(recorder.accounts, qt.HasLen, 2)
 }
 
-// An instance that the platform does not answer any more can't know whether keys were taken away: it refuses them
-// all, and goes on once it knows.
-func TestKeyTakenAwayBehindASilenceRunsNothing(t *testing.T) {
-	e, told := newAccountEdge(t)
+// While the platform does not answer, an instance can't know whether a key was revoked. It must refuse all
+// keys, and accept the valid ones again once it has read the configuration.
+func TestRevokedKeyRunsNothingDuringPlatformOutage(t *testing.T) {
+	e, recorder := newAccountEdge(t)
 	e.store.SetTrouble(fake.Trouble{Silent: true})
 	e.configureAccounts(3, lovageyard.Account{Name: "b"})
-	e.until("keys are refused", func() bool { return e.askAs("a", "second") == http.StatusServiceUnavailable })
-	told.mu.Lock()
-	ran := told.accounts["a"]
-	told.mu.Unlock()
+	e.until("keys to be refused", func() bool { return e.requestAs("a", "second") == http.StatusServiceUnavailable })
+	recorder.mu.Lock()
+	ran := recorder.accounts["a"]
+	recorder.mu.Unlock()
 	for n := range 20 {
 		for _, account := range []string{"a", "b"} {
-			e.c.Assert(e.askAs(account, fmt.Sprint("later-", n)), qt.Equals, http.StatusServiceUnavailable)
+			e.c.Assert(e.requestAs(account, fmt.Sprint("later-", n)), qt.Equals, http.StatusServiceUnavailable)
 		}
 	}
 	e.store.SetTrouble(fake.Trouble{})
-	e.until("the other key is served", func() bool { return e.askAs("b", "third") == http.StatusOK })
-	e.c.Assert(e.askAs("a", "fourth"), qt.Equals, http.StatusUnauthorized)
-	told.mu.Lock()
-	defer told.mu.Unlock()
-	e.c.Assert(told.accounts["a"], qt.Equals, ran)
+	e.until("the remaining key to be served", func() bool { return e.requestAs("b", "third") == http.StatusOK })
+	e.c.Assert(e.requestAs("a", "fourth"), qt.Equals, http.StatusUnauthorized)
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	e.c.Assert(recorder.accounts["a"], qt.Equals, ran)
 }
 
-// A limit holds over all that one caller asks, and what is refused is told so at once.
-func TestLimitOfAnAccountHolds(t *testing.T) {
-	const limit, asked = 5, 200
-	e, told := newAccountEdge(t)
+// A client account must not exceed its rate limit, and requests beyond it must be answered with 429.
+func TestAccountRateLimitHolds(t *testing.T) {
+	const limit, requests = 5, 200
+	e, recorder := newAccountEdge(t)
 	e.configureAccounts(3, lovageyard.Account{Name: "a", Rate: limit, Burst: limit})
-	e.until("the limit is known", func() bool { return e.askAs("b", "gone") == http.StatusUnauthorized })
-	before := told.count("a")
-	began := time.Now()
+	e.until("the limit to be in force", func() bool { return e.requestAs("b", "gone") == http.StatusUnauthorized })
+	before := recorder.requestCount("a")
+	start := time.Now()
 	statuses := make(map[int]int)
-	for n := range asked {
-		statuses[e.askAs("a", fmt.Sprint("many-", n))]++
+	for n := range requests {
+		statuses[e.requestAs("a", fmt.Sprint("many-", n))]++
 	}
-	e.c.Assert(statuses[http.StatusOK]+statuses[http.StatusTooManyRequests], qt.Equals, asked, qt.Commentf("%v", statuses))
-	// The defaults of the settings: windows of 5 s, a tenth and 20 requests beyond the limit.
-	windows := 1 + time.Since(began).Seconds()/5
+	e.c.Assert(statuses[http.StatusOK]+statuses[http.StatusTooManyRequests], qt.Equals, requests, qt.Commentf("%v", statuses))
+	// The default settings allow a tenth and 20 requests above the limit in each window of 5 s.
+	windows := 1 + time.Since(start).Seconds()/5
 	allowed := windows * ((5*limit+limit)*1.1 + 20)
-	e.c.Assert(float64(told.count("a")-before) <= allowed, qt.IsTrue, qt.Commentf("%d ran, %.0f allowed", told.count("a")-before, allowed))
+	e.c.Assert(float64(recorder.requestCount("a")-before) <= allowed, qt.IsTrue, qt.Commentf("%d ran, %.0f allowed", recorder.requestCount("a")-before, allowed))
 }
 
-func (o *callers) count(account string) int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.accounts[account]
+func (r *callerRecorder) requestCount(account string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.accounts[account]
 }
--- a/integration/charge_test.go
+++ b/integration/charge_test.go
@@ -15,58 +15,59 @@
 	"lovageyard.example/lovageyard"
 )
 
-// platformFaults are the faults of the stand-in platform.
+// platformFaults is the body of the call that sets the faults of the standin platform.
 type platformFaults struct {
 	Down        bool                `json:"down"`
 	SlowBy      lovageyard.Duration `json:"slow-by"`
 	LoseAnswers bool                `json:"lose-answers"`
 }
 
-// payer sends charges and repeats each with its key, at one instance after the other,
-// until it knows what became of it.
-type payer struct {
-	yard   *yard
-	client *http.Client
+// chargeClient sends charges. It repeats each with the same idempotency key, at one instance after the
+// other, until the charge is answered or the attempts are used up.
+type chargeClient struct {
+	deployment *deployment
+	client     *http.Client
 
 	mu sync.Mutex
-	// fates counts the charges by what a payer knows in the end: "" for an answered one,
-	// not-run if each of its requests was refused as that, and else may-have-run.
-	fates map[lovageyard.Verdict]int
-	// notRun are the keys that ended as not-run.
+	// results counts the charges by final verdict: "" for an answered charge, not-run if every attempt was
+	// refused as not run, and may-have-run otherwise.
+	results map[lovageyard.Verdict]int
+	// notRun holds the keys whose final verdict is not-run.
 	notRun []string
 }
 
-// pay sends one charge; it gives up after a number of tries.
-func (p *payer) pay(key string) {
-	const tries = 6
+// charge sends one charge, with a bounded number of attempts, and records its final verdict.
+func (cc *chargeClient) charge(key string) {
+	const attempts = 6
 	verdict := lovageyard.VerdictNotRun
-	for try := range tries {
-		status, said, err := p.try(p.yard.entries[try%len(p.yard.entries)], key)
+	for attempt := range attempts {
+		status, answered, err := cc.send(cc.deployment.entries[attempt%len(cc.deployment.entries)], key)
 		if err == nil && status == http.StatusOK {
 			verdict = ""
 			break
 		}
-		// A verdict speaks of one request: one that may have run is not undone by the next.
-		if err != nil || said != lovageyard.VerdictNotRun {
+		// A verdict is about one attempt only: an attempt that may have run still may have after the next one
+		// is refused as not run.
+		if err != nil || answered != lovageyard.VerdictNotRun {
 			verdict = lovageyard.VerdictMayHaveRun
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.fates[verdict]++
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.results[verdict]++
 	if verdict == lovageyard.VerdictNotRun {
-		p.notRun = append(p.notRun, key)
+		cc.notRun = append(cc.notRun, key)
 	}
 }
 
-func (p *payer) try(e lovageyard.EntryInstance, key string) (status int, verdict lovageyard.Verdict, err error) {
+func (cc *chargeClient) send(e lovageyard.EntryInstance, key string) (status int, verdict lovageyard.Verdict, err error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+e.CallerAddress+"/charges/"+key, bytes.NewReader([]byte("{}")))
 	if err != nil {
 		return 0, "", err
 	}
 	request.Header.Set("Idempotency-Key", key)
-	response, err := p.client.Do(request)
+	response, err := cc.client.Do(request)
 	if err != nil {
 		return 0, "", err
 	}
@@ -77,75 +78,77 @@
 	return response.StatusCode, lovageyard.Verdict(response.Header.Get(lovageyard.VerdictHeader)), nil
 }
 
-// TestChargesRunAtMostOnceUnderFaults repeats charges with their keys while a fault comes
-// and goes: no key runs twice, and one that ended as not run has not run.
+// TestChargesRunAtMostOnceUnderFaults repeats charges with their idempotency keys while a fault is
+// injected and removed: no key may run twice, and none whose verdict is not-run may have run.
 func TestChargesRunAtMostOnceUnderFaults(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		fault func(y *yard)
-		mend  func(y *yard)
+		name    string
+		fault   func(d *deployment)
+		restore func(d *deployment)
 	}{
-		{"none", func(*yard) {}, func(*yard) {}},
-		{"instance killed", func(y *yard) { y.daemons[0].signal(syscall.SIGKILL) }, func(*yard) {}},
-		{"instance frozen", func(y *yard) { y.daemons[0].signal(syscall.SIGSTOP) }, func(y *yard) { y.daemons[0].signal(syscall.SIGCONT) }},
-		{"platform down", func(y *yard) { y.platformFaults(platformFaults{Down: true}) }, func(y *yard) { y.platformFaults(platformFaults{}) }},
-		{"platform's answers lost", func(y *yard) { y.platformFaults(platformFaults{LoseAnswers: true}) }, func(y *yard) { y.platformFaults(platformFaults{}) }},
-		{"platform slow", func(y *yard) { y.platformFaults(platformFaults{SlowBy: lovageyard.Duration(300 * time.Millisecond)}) },
-			func(y *yard) { y.platformFaults(platformFaults{}) }},
-		{"instance killed while the platform is down", func(y *yard) {
-			y.platformFaults(platformFaults{Down: true})
-			y.daemons[0].signal(syscall.SIGKILL)
-		}, func(y *yard) { y.platformFaults(platformFaults{}) }},
+		{"none", func(*deployment) {}, func(*deployment) {}},
+		{"instance killed", func(d *deployment) { d.daemons[0].signal(syscall.SIGKILL) }, func(*deployment) {}},
+		{"instance frozen", func(d *deployment) { d.daemons[0].signal(syscall.SIGSTOP) }, func(d *deployment) { d.daemons[0].signal(syscall.SIGCONT) }},
+		{"platform down", func(d *deployment) { d.setPlatformFaults(platformFaults{Down: true}) }, func(d *deployment) { d.setPlatformFaults(platformFaults{}) }},
+		{"platform's answers lost", func(d *deployment) { d.setPlatformFaults(platformFaults{LoseAnswers: true}) }, func(d *deployment) { d.setPlatformFaults(platformFaults{}) }},
+		{"platform slow", func(d *deployment) {
+			d.setPlatformFaults(platformFaults{SlowBy: lovageyard.Duration(300 * time.Millisecond)})
+		},
+			func(d *deployment) { d.setPlatformFaults(platformFaults{}) }},
+		{"instance killed while the platform is down", func(d *deployment) {
+			d.setPlatformFaults(platformFaults{Down: true})
+			d.daemons[0].signal(syscall.SIGKILL)
+		}, func(d *deployment) { d.setPlatformFaults(platformFaults{}) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			y := newYard(t)
-			p := &payer{yard: y, client: &http.Client{Timeout: 3 * time.Second}, fates: make(map[lovageyard.Verdict]int)}
-			var paying sync.WaitGroup
-			const payers, charges = 4, 40
-			halfway := make(chan struct{}, payers)
-			for n := range payers {
-				paying.Go(func() {
+			d := newDeployment(t)
+			cc := &chargeClient{deployment: d, client: &http.Client{Timeout: 3 * time.Second}, results: make(map[lovageyard.Verdict]int)}
+			var sending sync.WaitGroup
+			const clients, charges = 4, 40
+			underLoad := make(chan struct{}, clients)
+			for n := range clients {
+				sending.Go(func() {
 					for i := range charges {
 						if i == charges/4 {
-							halfway <- struct{}{}
+							underLoad <- struct{}{}
 						}
-						p.pay(fmt.Sprintf("key-%d-%d", n, i))
+						cc.charge(fmt.Sprintf("key-%d-%d", n, i))
 					}
 				})
 			}
-			for range payers {
-				<-halfway
+			for range clients {
+				<-underLoad
 			}
-			test.fault(y)
+			test.fault(d)
 			time.Sleep(4 * time.Second)
-			test.mend(y)
-			paying.Wait()
-			p.check()
+			test.restore(d)
+			sending.Wait()
+			cc.check()
 		})
 	}
 }
 
-func (y *yard) platformFaults(f platformFaults) {
-	y.put("http://"+y.platform+"/standin/faults", f)
+func (d *deployment) setPlatformFaults(f platformFaults) {
+	d.put("http://"+d.platform+"/standin/faults", f)
 }
 
-// check compares what the payers were told with what the servers ran.
-func (p *payer) check() {
-	c := p.yard.c
+// check compares the verdicts that the clients received with what the servers ran.
+func (cc *chargeClient) check() {
+	c := cc.deployment.c
 	runs := make(map[string]int)
-	for _, s := range p.yard.servers {
-		for key, n := range p.yard.counts(s).Keys {
+	for _, s := range cc.deployment.servers {
+		for key, n := range cc.deployment.counts(s).Keys {
 			runs[key] += n
 		}
 	}
 	for key, n := range runs {
 		c.Check(n, qt.Equals, 1, qt.Commentf("%s ran %d times", key, n))
 	}
-	for _, key := range p.notRun {
-		c.Check(runs[key], qt.Equals, 0, qt.Commentf("%s was not run, they said", key))
+	for _, key := range cc.notRun {
+		c.Check(runs[key], qt.Equals, 0, qt.Commentf("%s ran despite the verdict not-run", key))
 	}
-	c.Check(len(runs) >= p.fates[""], qt.IsTrue)
-	c.Check(p.fates[""] > 0, qt.IsTrue)
-	c.Logf("fates by verdict: %v", p.fates)
+	c.Check(len(runs) >= cc.results[""], qt.IsTrue)
+	c.Check(cc.results[""] > 0, qt.IsTrue)
+	c.Logf("charges by final verdict: %v", cc.results)
 }
--- a/integration/yard_test.go
+++ b/integration/deployment_test.go
@@ -23,13 +23,13 @@
 	"lovageyard.example/lovageyard/operator"
 )
 
-// bin is the directory of the programs, built once.
+// bin is the directory of the programs that TestMain builds.
 var bin string
 
-// Bounds of waits; a wait ends as soon as its condition holds.
+// Timeout and interval of polling; a wait returns as soon as its condition holds.
 const (
-	waitFor   = 60 * time.Second
-	pollEvery = 50 * time.Millisecond
+	waitTimeout  = 60 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
@@ -58,7 +58,7 @@
 	return m.Run(), nil
 }
 
-// process is a running program.
+// process is a program that a test has started.
 type process struct {
 	command *exec.Cmd
 	log     *bytes.Buffer
@@ -66,7 +66,7 @@
 	err     error
 }
 
-// run starts a program and reads the line that it announces itself with.
+// run starts a program and decodes its first line of output, which announces its addresses, into ready.
 func run(c *qt.C, ready any, program string, args ...string) *process {
 	p := &process{exited: make(chan struct{}), log: &bytes.Buffer{}}
 	p.command = exec.Command(filepath.Join(bin, program), args...)
@@ -94,20 +94,20 @@
 	_ = p.command.Process.Signal(s)
 }
 
-// terminate asks the process to leave and waits for its end.
+// terminate sends SIGTERM and waits for the process to exit with status 0.
 func (p *process) terminate(c *qt.C) {
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
 		c.Assert(p.err, qt.IsNil, qt.Commentf("%s", p.log))
-	case <-time.After(waitFor):
-		c.Fatal("the process did not end")
+	case <-time.After(waitTimeout):
+		c.Fatal("timed out waiting for the process to exit")
 	}
 }
 
-// yard is a small deployment: two failure domains of one region, with two entry
+// deployment is a small deployment: two failure domains of one region, with two entry
 // instances and two backend servers each.
-type yard struct {
+type deployment struct {
 	c        *qt.C
 	platform string
 	entries  []lovageyard.EntryInstance
@@ -116,69 +116,69 @@
 	client   *operator.Client
 }
 
-func newYard(t *testing.T) *yard {
-	y := &yard{c: qt.New(t)}
+func newDeployment(t *testing.T) *deployment {
+	d := &deployment{c: qt.New(t)}
 	var ready struct {
 		Address string `json:"address"`
 	}
-	run(y.c, &ready, "standin", "platform")
-	y.platform = ready.Address
+	run(d.c, &ready, "standin", "platform")
+	d.platform = ready.Address
 	for _, domain := range []string{"north-1", "north-2"} {
 		var servers []lovageyard.BackendServer
-		run(y.c, &servers, "standin", "servers", "--failure-domain", domain, "--region", "north",
-			"--platform", y.platform, "--group", "desk:2:8:100:5ms")
-		y.servers = append(y.servers, servers...)
+		run(d.c, &servers, "standin", "servers", "--failure-domain", domain, "--region", "north",
+			"--platform", d.platform, "--group", "desk:2:8:100:5ms")
+		d.servers = append(d.servers, servers...)
 	}
 	for _, domain := range []string{"north-1", "north-2"} {
 		for n := range 2 {
-			y.startEntry(fmt.Sprintf("%s-entry-%d", domain, n+1), domain)
+			d.startEntry(fmt.Sprintf("%s-entry-%d", domain, n+1), domain)
 		}
 	}
-	y.client = operator.NewClient([]string{y.entries[0].OperatorAddress})
-	y.putClass("lookups", true, "/lookups/")
-	y.putClass("charges", false, "/charges/")
-	for _, e := range y.entries {
-		y.until("placement at "+e.Name, func() bool { return y.placed(e, 2) })
+	d.client = operator.NewClient([]string{d.entries[0].OperatorAddress})
+	d.putClass("lookups", true, "/lookups/")
+	d.putClass("charges", false, "/charges/")
+	for _, e := range d.entries {
+		d.until("placement at "+e.Name, func() bool { return d.isPlaced(e, 2) })
 	}
-	return y
+	return d
 }
 
-func (y *yard) startEntry(name, domain string) {
+func (d *deployment) startEntry(name, domain string) {
 	var ready lovageyard.EntryInstance
-	p := run(y.c, &ready, "lovageyardd", "--instance", name, "--failure-domain", domain, "--region", "north",
-		"--platform-address", y.platform, "--keep-for", "1s", "--log-level", "info")
-	y.daemons = append(y.daemons, p)
-	y.entries = append(y.entries, ready)
-	y.put("http://"+y.platform+"/standin/entry-instances", ready)
+	p := run(d.c, &ready, "lovageyardd", "--instance", name, "--failure-domain", domain, "--region", "north",
+		"--platform-address", d.platform, "--keep-for", "1s", "--log-level", "info")
+	d.daemons = append(d.daemons, p)
+	d.entries = append(d.entries, ready)
+	d.put("http://"+d.platform+"/standin/entry-instances", ready)
 }
 
-func (y *yard) put(target string, value any) {
+func (d *deployment) put(target string, value any) {
 	body, err := json.Marshal(value)
-	y.c.Assert(err, qt.IsNil)
+	d.c.Assert(err, qt.IsNil)
 	request, err := http.NewRequest(http.MethodPut, target, bytes.NewReader(body))
-	y.c.Assert(err, qt.IsNil)
+	d.c.Assert(err, qt.IsNil)
 	response, err := http.DefaultClient.Do(request)
-	y.c.Assert(err, qt.IsNil)
-	y.c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
-	y.c.Assert(response.Body.Close(), qt.IsNil)
+	d.c.Assert(err, qt.IsNil)
+	d.c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
+	d.c.Assert(response.Body.Close(), qt.IsNil)
 }
 
-func (y *yard) putClass(name string, idempotent bool, path string) {
-	_, err := y.client.PutClass(context.Background(), lovageyard.Class{
+func (d *deployment) putClass(name string, idempotent bool, path string) {
+	_, err := d.client.PutClass(context.Background(), lovageyard.Class{
 		Name: name, Service: "desk", Match: []lovageyard.Match{{PathPrefix: path}}, Idempotent: idempotent,
 		Deadline: lovageyard.Duration(10 * time.Second),
 		Target:   lovageyard.Target{Cap: 0.5, Interval: lovageyard.Duration(time.Second)},
 	}, 0)
-	y.c.Assert(err, qt.IsNil)
+	d.c.Assert(err, qt.IsNil)
 }
 
-func (y *yard) status(e lovageyard.EntryInstance) (operator.Status, error) {
+func (d *deployment) status(e lovageyard.EntryInstance) (operator.Status, error) {
 	return operator.NewClient([]string{e.OperatorAddress}).Status(context.Background())
 }
 
-func (y *yard) placed(e lovageyard.EntryInstance, classes int) bool {
-	status, err := y.status(e)
-	if err != nil || len(status.Moves) < classes || len(status.Instances) < len(y.entries) {
+func (d *deployment) isPlaced(e lovageyard.EntryInstance, classes int) bool {
+	status, err := d.status(e)
+	if err != nil || len(status.Moves) < classes || len(status.Instances) < len(d.entries) {
 		return false
 	}
 	for _, m := range status.Moves {
@@ -189,16 +189,17 @@
 	return true
 }
 
-func (y *yard) until(what string, holds func() bool) {
-	for end := time.Now().Add(waitFor); time.Now().Before(end); time.Sleep(pollEvery) {
+// until polls a condition until it holds, and fails the test after waitTimeout.
+func (d *deployment) until(what string, holds func() bool) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if holds() {
 			return
 		}
 	}
-	y.c.Fatalf("%s did not come about", what)
+	d.c.Fatalf("timed out waiting for %s", what)
 }
 
-// lookUp returns the instances that an entry instance names for a class.
+// lookUp returns an entry instance's answer to a look-up for a class.
 func lookUp(address, class string) (caller.LookUp, error) {
 	var answer caller.LookUp
 	response, err := http.Get("http://" + address + "/look-up?class=" + class)
@@ -209,7 +210,7 @@
 	return answer, json.NewDecoder(response.Body).Decode(&answer)
 }
 
-// traffic sends requests the way callers do, until it is stopped.
+// traffic sends requests as callers do, through the instances that look-ups name, until it is stopped.
 type traffic struct {
 	stop    chan struct{}
 	senders sync.WaitGroup
@@ -219,59 +220,59 @@
 	failed  []error
 }
 
-// startTraffic starts callers that look up an instance, keep the answer and send.
-func (y *yard) startTraffic(class, method string, senders int) *traffic {
+// startTraffic starts concurrent senders, each with a cached look-up of its own.
+func (d *deployment) startTraffic(class, method string, senders int) *traffic {
 	t := &traffic{stop: make(chan struct{}), sites: make(map[string]int), status: make(map[int]int)}
 	for n := range senders {
-		t.senders.Go(func() { t.send(y, n, class, method) })
+		t.senders.Go(func() { t.send(d, n, class, method) })
 	}
 	return t
 }
 
-func (t *traffic) send(y *yard, n int, class, method string) {
+func (t *traffic) send(d *deployment, n int, class, method string) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 20 * time.Second}
 	defer client.CloseIdleConnections()
-	var kept caller.LookUp
-	var until time.Time
+	var cached caller.LookUp
+	var expires time.Time
 	for number := 0; ; number++ {
 		select {
 		case <-t.stop:
 			return
 		default:
 		}
-		if time.Now().After(until) {
-			fresh, err := lookUp(y.entries[n%2].CallerAddress, class)
+		if time.Now().After(expires) {
+			fresh, err := lookUp(d.entries[n%2].CallerAddress, class)
 			if err != nil {
-				t.note("", 0, err)
+				t.record("", 0, err)
 				return
 			}
-			kept = fresh
-			until = time.Now().Add(time.Duration(fresh.KeepForMs) * time.Millisecond)
+			cached = fresh
+			expires = time.Now().Add(time.Duration(fresh.KeepForMs) * time.Millisecond)
 		}
-		target := fmt.Sprintf("http://%s/%s/%d-%d?bytes=2000", kept.Instances[0].Address, class, n, number)
+		target := fmt.Sprintf("http://%s/%s/%d-%d?bytes=2000", cached.Instances[0].Address, class, n, number)
 		request, err := http.NewRequest(method, target, bytes.NewReader([]byte("{}")))
 		if err != nil {
-			t.note("", 0, err)
+			t.record("", 0, err)
 			return
 		}
 		request.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d-%d", class, n, number))
-		t.one(client, request)
+		t.sendOne(client, request)
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func (t *traffic) one(client *http.Client, request *http.Request) {
+func (t *traffic) sendOne(client *http.Client, request *http.Request) {
 	response, err := client.Do(request)
 	if err != nil {
-		t.note("", 0, err)
+		t.record("", 0, err)
 		return
 	}
 	defer response.Body.Close()
 	_, err = io.Copy(io.Discard, response.Body)
-	t.note(response.Header.Get(lovageyard.SiteHeader), response.StatusCode, err)
+	t.record(response.Header.Get(lovageyard.SiteHeader), response.StatusCode, err)
 }
 
-func (t *traffic) note(site string, status int, err error) {
+func (t *traffic) record(site string, status int, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
@@ -282,8 +283,8 @@
 	t.status[status]++
 }
 
-// reset returns the counts by site so far and starts them anew.
-func (t *traffic) reset() map[string]int {
+// takeSites returns the counts by site since the last call and resets them.
+func (t *traffic) takeSites() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sites := t.sites
@@ -291,8 +292,8 @@
 	return sites
 }
 
-// end stops the traffic and fails the test if a request was cut or refused.
-func (t *traffic) end(c *qt.C) {
+// stopAndCheck stops the traffic and fails the test if a request was cut or refused.
+func (t *traffic) stopAndCheck(c *qt.C) {
 	close(t.stop)
 	t.senders.Wait()
 	c.Assert(t.failed, qt.HasLen, 0)
@@ -301,18 +302,18 @@
 	}
 }
 
-// counts is what a stand-in server has seen.
+// counts holds the counters of a standin server.
 type counts struct {
 	Requests    int            `json:"requests"`
 	MostRunning int            `json:"most-running"`
 	Keys        map[string]int `json:"keys"`
 }
 
-func (y *yard) counts(s lovageyard.BackendServer) counts {
+func (d *deployment) counts(s lovageyard.BackendServer) counts {
 	response, err := http.Get("http://" + s.Address + "/standin/counts")
-	y.c.Assert(err, qt.IsNil)
+	d.c.Assert(err, qt.IsNil)
 	defer response.Body.Close()
 	var n counts
-	y.c.Assert(json.NewDecoder(response.Body).Decode(&n), qt.IsNil)
+	d.c.Assert(json.NewDecoder(response.Body).Decode(&n), qt.IsNil)
 	return n
 }
--- a/integration/edge_test.go
+++ b/integration/edge_test.go
@@ -23,7 +23,7 @@
 	"lovageyard.example/lovageyard/platform/fake"
 )
 
-// Names on the stand-in platform.
+// Host, service and path prefixes of the configured routes.
 const (
 	edgeHost     = "a.example"
 	edgeService  = "desk"
@@ -35,16 +35,16 @@
 	nonePrefix   = "/none/"
 )
 
-// longWork is how long the long service works on a request.
+// longWork is the service time of the long service, longer than new requests are accepted during a stop.
 const longWork = 4 * time.Second
 
-// observer ignores what happens at servers.
+// observer ignores the events of servers.
 type observer struct{}
 
 func (observer) Arrived(string, string) {}
 func (observer) Ran(string, string)     {}
 
-// edge is an entry instance as a process, on a stand-in store with two backend servers.
+// edge is an entry instance that runs as a process, with a fake store and backend servers.
 type edge struct {
 	c       *qt.C
 	name    string
@@ -54,22 +54,22 @@
 	platform string
 	command  *exec.Cmd
 	output   *bufio.Reader
-	// settings is the path of its settings file.
+	// settings is the path of the instance's settings file.
 	settings string
-	// leaveWithin is its time between the request to leave and the end by force.
+	// leaveWithin is the time from the signal to stop until the platform kills the process.
 	leaveWithin time.Duration
-	// further are more arguments of the program.
-	further []string
-	// address is where it takes callers' requests, and ready where it tells whether it can.
+	// extraArgs are additional arguments of the program.
+	extraArgs []string
+	// address is the address for callers' requests, and ready that of the readiness check.
 	address string
 	ready   string
 }
 
 func newEdge(t *testing.T) *edge {
-	return newEdgeThatLeavesWithin(t, 2*time.Second)
+	return newEdgeWithLeaveTime(t, 2*time.Second)
 }
 
-func newEdgeThatLeavesWithin(t *testing.T, leaveWithin time.Duration) *edge {
+func newEdgeWithLeaveTime(t *testing.T, leaveWithin time.Duration) *edge {
 	e := &edge{c: qt.New(t), name: "entry-1", store: fake.NewStore(), leaveWithin: leaveWithin}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	e.c.Assert(err, qt.IsNil)
@@ -90,8 +90,8 @@
 	return e
 }
 
-// another starts a further instance on the same platform.
-func (e *edge) another(name string) *edge {
+// startAnother starts another instance on the same platform.
+func (e *edge) startAnother(name string) *edge {
 	other := &edge{c: e.c, name: name, store: e.store, platform: e.platform, leaveWithin: e.leaveWithin}
 	other.start()
 	return other
@@ -105,7 +105,7 @@
 		}
 	}
 	services := make(map[string]lovageyard.Service)
-	for _, name := range []string{edgeService, "slow", "long", "none", frailService} {
+	for _, name := range []string{edgeService, "slow", "long", "none", crashableService} {
 		services[name] = lovageyard.Service{Name: name, HealthPath: "/health", MaxConnections: 400}
 	}
 	e.store.PutConfiguration(lovageyard.Configuration{
@@ -117,7 +117,7 @@
 			route("long", longPrefix, "long", false, 2*longWork),
 			route("short", shortPrefix, edgeService, true, time.Second),
 			route("none", nonePrefix, "none", true, 20*time.Second),
-			route("frail", frailPrefix, frailService, true, 20*time.Second),
+			route("frail", crashablePrefix, crashableService, true, 20*time.Second),
 		},
 		Services:     services,
 		MaxBodyBytes: 1000,
@@ -134,14 +134,14 @@
 	e.store.PutServer(server.BackendServer)
 }
 
-// start runs the program and reads its output until it has told its addresses.
+// start runs the program, reads its addresses from the line that logs the start, and waits until it is ready.
 func (e *edge) start() {
 	loopback := "127.0.0.1:0"
 	e.command = exec.Command(filepath.Join(bin, "lovageyardd"), "edge",
 		"--instance", e.name, "--failure-domain", "north-1", "--region", "north", "--regions", "north-1=north",
 		"--caller-address", loopback, "--ready-address", loopback, "--look-up-address", loopback, "--peer-address", loopback,
 		"--platform-address", e.platform, "--leave-within", e.leaveWithin.String(), "--retry-slack", "1000")
-	e.command.Args = append(e.command.Args, e.further...)
+	e.command.Args = append(e.command.Args, e.extraArgs...)
 	e.settings = filepath.Join(e.c.TempDir(), "settings.json")
 	e.c.Assert(os.WriteFile(e.settings, []byte("{}"), 0o600), qt.IsNil)
 	e.command.Env = append(os.Environ(), platform.SettingsVariable+"="+e.settings)
@@ -178,11 +178,11 @@
 }
 
 func (e *edge) until(what string, holds func() bool) {
-	(&yard{c: e.c}).until(what, holds)
+	(&deployment{c: e.c}).until(what, holds)
 }
 
-// ask sends one request and returns the answer's status and body.
-func (e *edge) ask(method, path, id, body string) (int, string) {
+// request sends one request and returns the status and the body of the answer.
+func (e *edge) request(method, path, id, body string) (int, string) {
 	request, err := http.NewRequest(method, "http://"+e.address+path, strings.NewReader(body))
 	e.c.Assert(err, qt.IsNil)
 	request.Host = edgeHost
@@ -195,7 +195,7 @@
 	return response.StatusCode, string(text)
 }
 
-// stop asks the process to leave and returns the rest of its output.
+// stop terminates the process gracefully and returns the rest of its output.
 func (e *edge) stop() string {
 	e.c.Assert(e.command.Process.Signal(syscall.SIGTERM), qt.IsNil)
 	rest, err := io.ReadAll(e.output)
@@ -204,7 +204,7 @@
 	return string(rest)
 }
 
-// Each outcome that a caller can see is explained by the log alone.
+// For each outcome that a caller can see, "lovageyard trace" must show the cause from the log alone.
 func TestLogExplainsEveryOutcome(t *testing.T) {
 	t.Parallel()
 	e := newEdge(t)
@@ -236,12 +236,12 @@
 	}
 	for i, test := range tests {
 		every(fake.Faults{})
-		e.until("servers that are trusted again", func() bool {
-			status, _ := e.ask(http.MethodGet, lookUpPrefix, fmt.Sprint("before-", i), "")
+		e.until("servers to be used again", func() bool {
+			status, _ := e.request(http.MethodGet, lookUpPrefix, fmt.Sprint("before-", i), "")
 			return status == http.StatusOK
 		})
 		every(test.faults)
-		status, body := e.ask(test.method, test.path, test.id, test.body)
+		status, body := e.request(test.method, test.path, test.id, test.body)
 		e.c.Check(status, qt.Equals, test.status, qt.Commentf("%s", test.id))
 		if status == http.StatusOK {
 			e.c.Check(body, qt.Equals, fake.Body(test.id))
@@ -250,24 +250,24 @@
 	path := filepath.Join(t.TempDir(), "entry-1.log")
 	e.c.Assert(os.WriteFile(path, []byte(e.stop()), 0o600), qt.IsNil)
 	for _, test := range tests {
-		story, err := exec.Command(filepath.Join(bin, "lovageyard"), "trace", test.id, path).CombinedOutput()
-		e.c.Assert(err, qt.IsNil, qt.Commentf("%s", story))
-		e.c.Check(string(story), qt.Contains, test.cause, qt.Commentf("%s", test.id))
+		trace, err := exec.Command(filepath.Join(bin, "lovageyard"), "trace", test.id, path).CombinedOutput()
+		e.c.Assert(err, qt.IsNil, qt.Commentf("%s", trace))
+		e.c.Check(string(trace), qt.Contains, test.cause, qt.Commentf("%s", test.id))
 	}
 }
 
-// An instance whose output nobody reads serves on, and leaves in time.
-func TestBlockedOutputStopsNothing(t *testing.T) {
+// An instance whose log output is not read must keep serving and stop in time.
+func TestBlockedLogOutputDoesNotBlockServing(t *testing.T) {
 	t.Parallel()
 	e := newEdge(t)
-	// About 2 MB of lines: more than the pipe and the lines that may wait hold.
+	// About 2 MB of lines, which is more than the pipe and the queue of the logger hold.
 	const senders, each = 8, 500
 	var sending sync.WaitGroup
 	for n := range senders {
 		sending.Go(func() {
 			for i := range each {
 				id := fmt.Sprintf("%d-%d", n, i)
-				status, body := e.ask(http.MethodGet, lookUpPrefix, id, "")
+				status, body := e.request(http.MethodGet, lookUpPrefix, id, "")
 				e.c.Check(status, qt.Equals, http.StatusOK)
 				e.c.Check(body, qt.Equals, fake.Body(id))
 			}
@@ -280,26 +280,26 @@
 	e.c.Assert(state.ExitCode(), qt.Equals, 0)
 }
 
-// A stop cuts off no request: what is in flight is answered, also when it lasts beyond the time for
-// which new requests are taken; of the new ones those are taken that end in time.
-func TestStopOfAnEdgeCutsNoRequest(t *testing.T) {
+// A graceful stop must interrupt no request. Those in flight are answered, even if they outlast the time in
+// which new requests are accepted; of the new ones only those are accepted whose timeout ends in time.
+func TestStopInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
-	// New requests are taken for half of it, and all ends at 0.93 of it.
-	e := newEdgeThatLeavesWithin(t, 6*time.Second)
+	// New requests are accepted for half of this time, and the last one ends at 0.93 of it.
+	e := newEdgeWithLeaveTime(t, 6*time.Second)
 	status := make(chan int)
 	go func() {
-		got, _ := e.ask(http.MethodPost, longPrefix, "in-flight", "b")
+		got, _ := e.request(http.MethodPost, longPrefix, "in-flight", "b")
 		status <- got
 	}()
 	long := e.servers[len(e.servers)-1]
-	e.until("the request is at the server", func() bool { return long.Running() > 0 })
+	e.until("the request to reach the server", func() bool { return long.Running() > 0 })
 	e.c.Assert(e.command.Process.Signal(syscall.SIGTERM), qt.IsNil)
 	e.readUntil("leaving")
-	e.until("the view says so", func() bool {
-		got, _ := e.ask(http.MethodGet, lookUpPrefix, "may-last-20-s", "")
+	e.until("long requests to be refused", func() bool {
+		got, _ := e.request(http.MethodGet, lookUpPrefix, "may-last-20-s", "")
 		return got == http.StatusServiceUnavailable
 	})
-	got, _ := e.ask(http.MethodGet, shortPrefix, "ends-in-time", "")
+	got, _ := e.request(http.MethodGet, shortPrefix, "ends-in-time", "")
 	e.c.Assert(got, qt.Equals, http.StatusOK)
 	e.c.Assert(<-status, qt.Equals, http.StatusOK)
 	_, err := io.Copy(io.Discard, e.output)
@@ -307,9 +307,9 @@
 	e.c.Assert(e.command.Wait(), qt.IsNil)
 }
 
-// An instance reads its settings anew when it is asked to; a file that is half written, or
-// gone for a moment, leaves the old ones in force.
-func TestSignalToReadSettingsStopsNothing(t *testing.T) {
+// An instance reloads its settings on SIGHUP. A file that is incomplete, invalid or missing must leave the
+// old settings in force and not interrupt serving.
+func TestInvalidSettingsOnReloadAreIgnored(t *testing.T) {
 	t.Parallel()
 	e := newEdge(t)
 	for n, text := range []string{"{", `{"retry-ratio": "many"}`, "", `{"log-level": "debug"}`} {
@@ -324,13 +324,13 @@
 			want = "settings reloaded"
 		}
 		e.readUntil(want)
-		status, _ := e.ask(http.MethodGet, lookUpPrefix, fmt.Sprint("after-", n), "")
+		status, _ := e.request(http.MethodGet, lookUpPrefix, fmt.Sprint("after-", n), "")
 		e.c.Assert(status, qt.Equals, http.StatusOK)
 	}
 	e.stop()
 }
 
-// readUntil reads the output up to a line of a message.
+// readUntil reads the output up to the line that logs a message.
 func (e *edge) readUntil(message string) {
 	for {
 		line, err := e.output.ReadString('\n')
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -16,98 +16,101 @@
 	"lovageyard.example/lovageyard"
 )
 
-// TestDrainUnderLoad moves all work off a site while callers send; nothing is cut.
+// TestDrainUnderLoad drains a site under load. All work must move to the other site, no request may be cut
+// or refused, no server may exceed its slots, and no charge may run twice.
 func TestDrainUnderLoad(t *testing.T) {
 	t.Parallel()
-	y := newYard(t)
-	reads := y.startTraffic("lookups", http.MethodGet, 4)
-	writes := y.startTraffic("charges", http.MethodPost, 2)
-	y.until("work at north-1", func() bool { return reads.reset()["north-1"] > 0 })
-	y.c.Assert(y.client.Drain(context.Background(), "north-1", time.Now().Add(time.Minute)), qt.IsNil)
-	y.until("the drain", func() bool {
+	d := newDeployment(t)
+	reads := d.startTraffic("lookups", http.MethodGet, 4)
+	writes := d.startTraffic("charges", http.MethodPost, 2)
+	d.until("work at north-1", func() bool { return reads.takeSites()["north-1"] > 0 })
+	d.c.Assert(d.client.Drain(context.Background(), "north-1", time.Now().Add(time.Minute)), qt.IsNil)
+	d.until("the drain", func() bool {
 		time.Sleep(time.Second)
-		r, w := reads.reset(), writes.reset()
+		r, w := reads.takeSites(), writes.takeSites()
 		return r["north-1"] == 0 && r["north-2"] > 0 && w["north-1"] == 0 && w["north-2"] > 0
 	})
-	y.c.Assert(y.client.Restore(context.Background(), "north-1"), qt.IsNil)
-	reads.end(y.c)
-	writes.end(y.c)
-	for _, s := range y.servers {
-		n := y.counts(s)
-		y.c.Assert(n.MostRunning <= s.Slots, qt.IsTrue)
+	d.c.Assert(d.client.Restore(context.Background(), "north-1"), qt.IsNil)
+	reads.stopAndCheck(d.c)
+	writes.stopAndCheck(d.c)
+	for _, s := range d.servers {
+		n := d.counts(s)
+		d.c.Assert(n.MostRunning <= s.Slots, qt.IsTrue)
 		for key, runs := range n.Keys {
-			y.c.Assert(runs, qt.Equals, 1, qt.Commentf("%s ran %d times", key, runs))
+			d.c.Assert(runs, qt.Equals, 1, qt.Commentf("%s ran %d times", key, runs))
 		}
 	}
 }
 
-// TestStopUnderLoad stops an entry instance while callers send; it leaves look-ups,
-// serves what is under way and exits with 0.
+// TestStopUnderLoad stops an entry instance under load. It must disappear from look-ups, complete the
+// requests in flight and exit with status 0.
 func TestStopUnderLoad(t *testing.T) {
 	t.Parallel()
-	y := newYard(t)
-	reads := y.startTraffic("lookups", http.MethodGet, 4)
-	y.until("work", func() bool { return reads.reset()["north-1"] > 0 })
-	y.daemons[1].terminate(y.c)
-	answer, err := lookUp(y.entries[0].CallerAddress, "lookups")
-	y.c.Assert(err, qt.IsNil)
+	d := newDeployment(t)
+	reads := d.startTraffic("lookups", http.MethodGet, 4)
+	d.until("work", func() bool { return reads.takeSites()["north-1"] > 0 })
+	d.daemons[1].terminate(d.c)
+	answer, err := lookUp(d.entries[0].CallerAddress, "lookups")
+	d.c.Assert(err, qt.IsNil)
 	for _, i := range answer.Instances {
-		y.c.Assert(i.Instance, qt.Not(qt.Equals), y.entries[1].Name)
+		d.c.Assert(i.Instance, qt.Not(qt.Equals), d.entries[1].Name)
 	}
-	// The callers asked the stopped instance for look-ups too.
+	// Callers also send look-ups to the stopped instance; only these may fail.
 	reads.mu.Lock()
 	for _, err := range reads.failed {
-		y.c.Check(err, qt.ErrorMatches, `.*/look-up.*connection refused`)
+		d.c.Check(err, qt.ErrorMatches, `.*/look-up.*connection refused`)
 	}
 	reads.failed = nil
 	reads.mu.Unlock()
-	reads.end(y.c)
+	reads.stopAndCheck(d.c)
 }
 
-// TestSecondSignalHurries ends a stop at once.
-func TestSecondSignalHurries(t *testing.T) {
+// TestSecondSignalStopsImmediately sends a second signal to an instance that is leaving: it must exit
+// without waiting for the rest of its leave time.
+func TestSecondSignalStopsImmediately(t *testing.T) {
 	t.Parallel()
-	y := newYard(t)
-	p := y.daemons[1]
+	d := newDeployment(t)
+	p := d.daemons[1]
 	p.signal(syscall.SIGTERM)
-	y.until("leaving", func() bool {
-		status, err := y.status(y.entries[1])
+	d.until("leaving", func() bool {
+		status, err := d.status(d.entries[1])
 		return err == nil && status.State == lovageyard.StateLeaving
 	})
-	p.terminate(y.c)
+	p.terminate(d.c)
 }
 
-// TestLeavingServerGetsNoNewWork lets a server say that it leaves.
+// TestLeavingServerGetsNoNewWork has a server report in its load reports that it is leaving. It must get
+// no new requests, and no request may be cut.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	y := newYard(t)
-	reads := y.startTraffic("lookups", http.MethodGet, 4)
-	leaving := y.servers[0]
-	y.until("work at the server", func() bool { return y.counts(leaving).Requests > 0 })
-	y.put("http://"+leaving.Address+"/standin/faults", struct {
+	d := newDeployment(t)
+	reads := d.startTraffic("lookups", http.MethodGet, 4)
+	leaving := d.servers[0]
+	d.until("work at the server", func() bool { return d.counts(leaving).Requests > 0 })
+	d.put("http://"+leaving.Address+"/standin/faults", struct {
 		Leaving bool `json:"leaving"`
 	}{true})
-	y.until("no new work", func() bool {
-		before := y.counts(leaving).Requests
+	d.until("no new work", func() bool {
+		before := d.counts(leaving).Requests
 		time.Sleep(500 * time.Millisecond)
-		return y.counts(leaving).Requests == before
+		return d.counts(leaving).Requests == before
 	})
-	before := y.counts(leaving).Requests
+	before := d.counts(leaving).Requests
 	time.Sleep(2 * time.Second)
-	y.c.Assert(y.counts(leaving).Requests, qt.Equals, before)
-	reads.end(y.c)
+	d.c.Assert(d.counts(leaving).Requests, qt.Equals, before)
+	reads.stopAndCheck(d.c)
 }
 
-// TestDeadInstanceLeavesLookUps kills an entry instance.
+// TestDeadInstanceLeavesLookUps kills an entry instance. The others must stop naming it in look-ups.
 func TestDeadInstanceLeavesLookUps(t *testing.T) {
 	t.Parallel()
-	y := newYard(t)
-	y.daemons[1].signal(syscall.SIGKILL)
-	y.until("the dead instance leaves look-ups", func() bool {
-		answer, err := lookUp(y.entries[0].CallerAddress, "lookups")
-		y.c.Assert(err, qt.IsNil)
+	d := newDeployment(t)
+	d.daemons[1].signal(syscall.SIGKILL)
+	d.until("the dead instance to disappear from look-ups", func() bool {
+		answer, err := lookUp(d.entries[0].CallerAddress, "lookups")
+		d.c.Assert(err, qt.IsNil)
 		for _, i := range answer.Instances {
-			if i.Instance == y.entries[1].Name {
+			if i.Instance == d.entries[1].Name {
 				return false
 			}
 		}
@@ -115,33 +118,34 @@
 	})
 }
 
-// TestPlatformDown checks that reads go on without the platform.
+// TestPlatformDown takes the platform down. Reads must be served as before, while operators' calls, which
+// read the platform, must fail.
 func TestPlatformDown(t *testing.T) {
 	t.Parallel()
-	y := newYard(t)
-	y.put("http://"+y.platform+"/standin/faults", struct {
+	d := newDeployment(t)
+	d.put("http://"+d.platform+"/standin/faults", struct {
 		Down bool `json:"down"`
 	}{true})
-	reads := y.startTraffic("lookups", http.MethodGet, 4)
+	reads := d.startTraffic("lookups", http.MethodGet, 4)
 	served := 0
-	y.until("work", func() bool {
-		served += reads.reset()["north-1"]
+	d.until("work", func() bool {
+		served += reads.takeSites()["north-1"]
 		return served > 100
 	})
-	reads.end(y.c)
-	_, err := y.client.Class(context.Background(), "lookups")
-	y.c.Assert(err, qt.IsNotNil)
+	reads.stopAndCheck(d.c)
+	_, err := d.client.Class(context.Background(), "lookups")
+	d.c.Assert(err, qt.IsNotNil)
 }
 
-// TestCommandLine runs the operators' program.
+// TestCommandLine checks the exit status and the output of the operators' commands.
 func TestCommandLine(t *testing.T) {
 	t.Parallel()
-	y := newYard(t)
+	d := newDeployment(t)
 	good := filepath.Join(t.TempDir(), "class.json")
-	y.c.Assert(os.WriteFile(good, []byte(`{"name": "statements", "service": "desk", "idempotent": true, "deadline": "2s",
+	d.c.Assert(os.WriteFile(good, []byte(`{"name": "statements", "service": "desk", "idempotent": true, "deadline": "2s",
 		"match": [{"path-prefix": "/statements/"}], "target": {"cap": 0.1, "interval": "30s"}}`), 0o600), qt.IsNil)
 	bad := filepath.Join(t.TempDir(), "bad.json")
-	y.c.Assert(os.WriteFile(bad, []byte(`{"name": "statements", "weight": 1}`), 0o600), qt.IsNil)
+	d.c.Assert(os.WriteFile(bad, []byte(`{"name": "statements", "weight": 1}`), 0o600), qt.IsNil)
 	for _, test := range []struct {
 		name string
 		args []string
@@ -164,8 +168,8 @@
 		{"unknown flag", []string{"status", "--weight", "3"}, 2, "unknown flag --weight"},
 		{"nobody answers", []string{"status", "--operator-address", "127.0.0.1:1"}, 1, "no operator address answered"},
 	} {
-		y.c.Run(test.name, func(c *qt.C) {
-			args := append([]string{"--operator-address", y.entries[0].OperatorAddress}, test.args...)
+		d.c.Run(test.name, func(c *qt.C) {
+			args := append([]string{"--operator-address", d.entries[0].OperatorAddress}, test.args...)
 			if test.name == "nobody answers" {
 				args = test.args
 			}
@@ -180,7 +184,8 @@
 	}
 }
 
-// TestSettingsAreChecked starts the daemon with wrong settings.
+// TestSettingsAreChecked starts the daemon with invalid settings. It must name the first invalid one on
+// standard error and exit with status 2.
 func TestSettingsAreChecked(t *testing.T) {
 	good := []string{"--instance", "one", "--failure-domain", "a", "--region", "r", "--platform-address", "127.0.0.1:1"}
 	for _, test := range []struct {
