--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -115,8 +115,8 @@
 		})
 	}
 	client := link.New(link.OwnHeaders{}, timer.Clock{}, nil)
-	charges := charge.NewBook(memory.NewStore(), timer.Clock{}, "near-1/1")
-	handler := NewHandler(Parts{
+	charges := charge.NewStore(memory.NewStore(), timer.Clock{}, "near-1/1")
+	handler := NewHandler(Settings{
 		Source:   r,
 		Watcher:  r,
 		Charges:  charges,
--- a/caller/charge.go
+++ b/caller/charge.go
@@ -41,7 +41,7 @@
 	held, answer, err := x.handler.charges.Claim(x.request.Context(), charge.Request{
 		Class:      x.work.Class.Name,
 		Key:        key,
-		Hash:       charge.HashOf(x.request.Method, x.request.URL.RequestURI(), x.body.kept),
+		Hash:       charge.HashRequest(x.request.Method, x.request.URL.RequestURI(), x.body.kept),
 		SendBefore: x.deadline,
 	})
 	switch {
@@ -55,7 +55,7 @@
 }
 
 func (x *exchange) refuseClaim(err error) {
-	if errors.Is(err, charge.ErrOtherRequest) {
+	if errors.Is(err, charge.ErrKeyReused) {
 		x.refuse(http.StatusUnprocessableEntity, lovageyard.NotRun(err.Error(), nil), 0)
 		return
 	}
@@ -115,7 +115,7 @@
 	case v == lovageyard.VerdictNotRun:
 		x.handler.charges.Release(x.held)
 	default:
-		x.handler.charges.Lose(x.held)
+		x.handler.charges.MarkUnknown(x.held)
 	}
 	x.held = nil
 }
--- a/caller/forward.go
+++ b/caller/forward.go
@@ -47,7 +47,7 @@
 	attempt  int
 	choice   route.Choice
 	slot     server.Result
-	held     *charge.Held
+	held     *charge.HeldClaim
 }
 
 func (h *Handler) forward(w http.ResponseWriter, r *http.Request, s *route.Snapshot) {
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -29,10 +29,10 @@
 
 // Charges keeps the claims of requests that must run at most once.
 type Charges interface {
-	Claim(ctx context.Context, r charge.Request) (*charge.Held, *charge.Answer, error)
-	Record(h *charge.Held, a charge.Answer)
-	Release(h *charge.Held)
-	Lose(h *charge.Held)
+	Claim(ctx context.Context, r charge.Request) (*charge.HeldClaim, *charge.Answer, error)
+	Record(h *charge.HeldClaim, a charge.Answer)
+	Release(h *charge.HeldClaim)
+	MarkUnknown(h *charge.HeldClaim)
 }
 
 // Handler answers callers.
@@ -47,8 +47,8 @@
 	self     lovageyard.EntryInstance
 }
 
-// Parts are what a Handler is made of.
-type Parts struct {
+// Settings are what a Handler is made of.
+type Settings struct {
 	Source   Source
 	Watcher  Watcher
 	Charges  Charges
@@ -60,7 +60,7 @@
 }
 
 // NewHandler returns a handler.
-func NewHandler(p Parts) *Handler {
+func NewHandler(p Settings) *Handler {
 	return &Handler{
 		source:   p.Source,
 		watcher:  p.Watcher,
--- a/caller/lookup.go
+++ b/caller/lookup.go
@@ -45,7 +45,7 @@
 		fail(w, http.StatusBadRequest, lovageyard.NotRun("class: a value is needed", nil), 0)
 		return
 	}
-	if s.Classes.Named(name) == nil {
+	if s.Classes.ByName(name) == nil {
 		fail(w, http.StatusNotFound, lovageyard.NotRun("class: no class of that name", nil), 0)
 		return
 	}
--- a/charge/book.go
+++ b/charge/book.go
@@ -28,18 +28,18 @@
 
 // Errors of Claim, besides a *lovageyard.RequestError.
 var (
-	// ErrOtherRequest reports a key that another request has used.
-	ErrOtherRequest = errors.New("the key was used for another request")
+	// ErrKeyReused reports a key that another request has used.
+	ErrKeyReused = errors.New("the key was used for another request")
 )
 
-// Held is a claim that this instance holds: only its request may be sent.
-type Held struct {
+// HeldClaim is a claim that this instance holds: only its request may be sent.
+type HeldClaim struct {
 	Claim
 	version int64
 }
 
-// Book keeps the claims of one entry instance in the platform's table.
-type Book struct {
+// Store keeps the claims of one entry instance in the platform's table.
+type Store struct {
 	table   lovageyard.Table
 	timer   lovageyard.Timer
 	holder  string
@@ -51,14 +51,14 @@
 
 // write is a change of a claim that could not be made at once.
 type write struct {
-	held  *Held
+	held  *HeldClaim
 	event string
 	since time.Time
 }
 
-// NewBook returns a book whose claims carry a holder's name. Close ends it.
-func NewBook(table lovageyard.Table, timer lovageyard.Timer, holder string) *Book {
-	b := &Book{
+// NewStore returns a book whose claims carry a holder's name. Close ends it.
+func NewStore(table lovageyard.Table, timer lovageyard.Timer, holder string) *Store {
+	b := &Store{
 		table:   table,
 		timer:   timer,
 		holder:  holder,
@@ -70,7 +70,7 @@
 }
 
 // Close ends the retries and waits for them.
-func (b *Book) Close() {
+func (b *Store) Close() {
 	close(b.stop)
 	b.worker.Wait()
 }
@@ -85,7 +85,7 @@
 
 // Claim claims a key. It returns the held claim; or the answer of an earlier run; or an
 // error: ErrOtherRequest, or a *lovageyard.RequestError with the verdict on the key.
-func (b *Book) Claim(ctx context.Context, r Request) (*Held, *Answer, error) {
+func (b *Store) Claim(ctx context.Context, r Request) (*HeldClaim, *Answer, error) {
 	next := Claim{
 		Key:        r.Key,
 		Class:      r.Class,
@@ -104,13 +104,13 @@
 }
 
 // insert writes a claim under a row's version. It returns the row if another has it.
-func (b *Book) insert(ctx context.Context, c Claim, version int64) (*Held, lovageyard.Row, error) {
+func (b *Store) insert(ctx context.Context, c Claim, version int64) (*HeldClaim, lovageyard.Row, error) {
 	none := lovageyard.Row{}
 	accepted, err := b.put(ctx, c, version)
 	var conflict *lovageyard.ConflictError
 	switch {
 	case err == nil:
-		return &Held{Claim: c, version: accepted}, none, nil
+		return &HeldClaim{Claim: c, version: accepted}, none, nil
 	case errors.As(err, &conflict):
 		return nil, conflict.Row, nil
 	case !errors.Is(err, lovageyard.ErrUnknownOutcome):
@@ -121,7 +121,7 @@
 
 // readBack finds out what became of an insert whose answer was lost. If it can't, the
 // request is refused, and the row, should it exist, is released later.
-func (b *Book) readBack(ctx context.Context, c Claim, lost error) (*Held, lovageyard.Row, error) {
+func (b *Store) readBack(ctx context.Context, c Claim, lost error) (*HeldClaim, lovageyard.Row, error) {
 	none := lovageyard.Row{}
 	for range readBacks {
 		row, err := b.table.Read(ctx, lovageyard.TableClaims, RowKey(c.Class, c.Key))
@@ -136,22 +136,22 @@
 			return nil, none, lovageyard.NotRun("the claim could not be read", err)
 		}
 		if found.Holder == c.Holder {
-			return &Held{Claim: c, version: row.Version}, none, nil
+			return &HeldClaim{Claim: c, version: row.Version}, none, nil
 		}
 		return nil, row, nil
 	}
-	b.later(write{held: &Held{Claim: c}, event: eventRelease, since: b.timer.Now()})
+	b.later(write{held: &HeldClaim{Claim: c}, event: eventRelease, since: b.timer.Now()})
 	return nil, none, lovageyard.NotRun(reasonUnclaimed, lost)
 }
 
 // judge answers a request whose key another request has claimed.
-func (b *Book) judge(ctx context.Context, next Claim, row lovageyard.Row) (*Held, *Answer, error) {
+func (b *Store) judge(ctx context.Context, next Claim, row lovageyard.Row) (*HeldClaim, *Answer, error) {
 	known, err := decode(row)
 	if err != nil {
 		return nil, nil, lovageyard.NotRun("the claim could not be read", err)
 	}
 	if known.Hash != next.Hash {
-		return nil, nil, ErrOtherRequest
+		return nil, nil, ErrKeyReused
 	}
 	switch known.StateAt(b.timer.Now()) {
 	case Recorded:
@@ -162,7 +162,7 @@
 	return nil, nil, lovageyard.MayHaveRun("a request with this key is "+string(known.StateAt(b.timer.Now())), nil)
 }
 
-func (b *Book) claimAgain(ctx context.Context, next, known Claim, version int64) (*Held, *Answer, error) {
+func (b *Store) claimAgain(ctx context.Context, next, known Claim, version int64) (*HeldClaim, *Answer, error) {
 	next.Attempt = known.Attempt + 1
 	held, _, err := b.insert(ctx, next, version)
 	if err == nil && held == nil {
@@ -172,23 +172,23 @@
 }
 
 // Record keeps the answer of a request that ran.
-func (b *Book) Record(h *Held, a Answer) {
+func (b *Store) Record(h *HeldClaim, a Answer) {
 	h.Answer = &a
 	b.change(h, eventRecord)
 }
 
 // Release frees a key whose request did not run.
-func (b *Book) Release(h *Held) {
+func (b *Store) Release(h *HeldClaim) {
 	b.change(h, eventRelease)
 }
 
-// Lose notes that a request may have run.
-func (b *Book) Lose(h *Held) {
+// MarkUnknown notes that a request may have run.
+func (b *Store) MarkUnknown(h *HeldClaim) {
 	b.change(h, eventLose)
 }
 
 // change makes a change now, or later if the platform does not take it.
-func (b *Book) change(h *Held, event string) {
+func (b *Store) change(h *HeldClaim, event string) {
 	ctx, cancel := context.WithTimeout(context.Background(), recordWithin)
 	defer cancel()
 	w := write{held: h, event: event, since: b.timer.Now()}
@@ -198,7 +198,7 @@
 }
 
 // try makes a change and says whether it is over: made, or overtaken by another.
-func (b *Book) try(ctx context.Context, w write) bool {
+func (b *Store) try(ctx context.Context, w write) bool {
 	c := w.held.Claim
 	if c.fire(w.event) != nil {
 		return true
@@ -220,7 +220,7 @@
 	return err == nil || errors.As(err, &conflict)
 }
 
-func (b *Book) put(ctx context.Context, c Claim, version int64) (int64, error) {
+func (b *Store) put(ctx context.Context, c Claim, version int64) (int64, error) {
 	value, err := json.Marshal(c)
 	if err != nil {
 		return 0, errors.Wrap(err, "claim")
@@ -234,7 +234,7 @@
 
 // later leaves a change to the worker; with a full backlog it is dropped, and the
 // claim becomes unknown by its age.
-func (b *Book) later(w write) {
+func (b *Store) later(w write) {
 	select {
 	case b.backlog <- w:
 	default:
@@ -242,7 +242,7 @@
 }
 
 // work retries the changes of the backlog.
-func (b *Book) work() {
+func (b *Store) work() {
 	for {
 		select {
 		case w := <-b.backlog:
@@ -256,7 +256,7 @@
 }
 
 // retry repeats a change until it is over or too old; it returns false once the book ends.
-func (b *Book) retry(w write) bool {
+func (b *Store) retry(w write) bool {
 	for b.timer.Now().Sub(w.since) < retryFor {
 		ctx, cancel := context.WithTimeout(context.Background(), recordWithin)
 		over := b.try(ctx, w)
@@ -302,8 +302,8 @@
 	return claims, nil
 }
 
-// Show returns the claim of a row's key.
-func Show(ctx context.Context, table lovageyard.Table, rowKey string) (Claim, int64, error) {
+// Get returns the claim of a row's key.
+func Get(ctx context.Context, table lovageyard.Table, rowKey string) (Claim, int64, error) {
 	row, err := table.Read(ctx, lovageyard.TableClaims, rowKey)
 	if err != nil {
 		return Claim{}, 0, err
--- a/charge/book_test.go
+++ b/charge/book_test.go
@@ -66,26 +66,26 @@
 	c     *qt.C
 	table *faulty
 	clock *timer.Manual
-	a, b  *Book
+	a, b  *Store
 }
 
 func newRig(t *testing.T) *rig {
 	r := &rig{c: qt.New(t), table: &faulty{Store: memory.NewStore()}, clock: timer.NewManual(time.Unix(1000, 0))}
-	r.a = NewBook(r.table, r.clock, "a/1")
-	r.b = NewBook(r.table, r.clock, "b/1")
+	r.a = NewStore(r.table, r.clock, "a/1")
+	r.b = NewStore(r.table, r.clock, "b/1")
 	t.Cleanup(r.a.Close)
 	t.Cleanup(r.b.Close)
 	return r
 }
 
-func (r *rig) claim(b *Book, hash string) (*Held, *Answer, error) {
+func (r *rig) claim(b *Store, hash string) (*HeldClaim, *Answer, error) {
 	return b.Claim(context.Background(), Request{
 		Class: "charges", Key: "key-1", Hash: hash, SendBefore: r.clock.Now().Add(3 * time.Second),
 	})
 }
 
 func (r *rig) state() State {
-	c, _, err := Show(context.Background(), r.table.Store, RowKey("charges", "key-1"))
+	c, _, err := Get(context.Background(), r.table.Store, RowKey("charges", "key-1"))
 	if err != nil {
 		return ""
 	}
@@ -96,23 +96,23 @@
 func TestSecondRequest(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		fate func(r *rig, h *Held)
+		fate func(r *rig, h *HeldClaim)
 		// what the second request gets: held, an answer, or a verdict.
 		held    bool
 		status  int
 		verdict lovageyard.Verdict
 	}{
-		{"holder still sending", func(*rig, *Held) {}, false, 0, lovageyard.VerdictMayHaveRun},
-		{"holder died", func(r *rig, _ *Held) { r.clock.Advance(time.Minute) }, false, 0, lovageyard.VerdictMayHaveRun},
-		{"recorded", func(r *rig, h *Held) { r.a.Record(h, Answer{Status: 201, Whole: true}) }, false, 201, ""},
-		{"released", func(r *rig, h *Held) { r.a.Release(h) }, true, 0, ""},
-		{"lost", func(r *rig, h *Held) { r.a.Lose(h) }, false, 0, lovageyard.VerdictMayHaveRun},
-		{"recorded with the answer lost", func(r *rig, h *Held) {
+		{"holder still sending", func(*rig, *HeldClaim) {}, false, 0, lovageyard.VerdictMayHaveRun},
+		{"holder died", func(r *rig, _ *HeldClaim) { r.clock.Advance(time.Minute) }, false, 0, lovageyard.VerdictMayHaveRun},
+		{"recorded", func(r *rig, h *HeldClaim) { r.a.Record(h, Answer{Status: 201, Whole: true}) }, false, 201, ""},
+		{"released", func(r *rig, h *HeldClaim) { r.a.Release(h) }, true, 0, ""},
+		{"lost", func(r *rig, h *HeldClaim) { r.a.MarkUnknown(h) }, false, 0, lovageyard.VerdictMayHaveRun},
+		{"recorded with the answer lost", func(r *rig, h *HeldClaim) {
 			r.table.set(func() { r.table.lostAfter = true })
 			r.a.Record(h, Answer{Status: 201, Whole: true})
 			r.table.set(func() { r.table.lostAfter = false })
 		}, false, 201, ""},
-		{"platform down when it was to be recorded", func(r *rig, h *Held) {
+		{"platform down when it was to be recorded", func(r *rig, h *HeldClaim) {
 			r.table.set(func() { r.table.down = true })
 			r.a.Record(h, Answer{Status: 201, Whole: true})
 			r.table.set(func() { r.table.down = false })
@@ -133,7 +133,7 @@
 				r.c.Assert(lovageyard.VerdictOf(err), qt.Equals, test.verdict)
 			}
 			_, _, err = r.claim(r.b, "other hash")
-			r.c.Assert(err, qt.Equals, ErrOtherRequest)
+			r.c.Assert(err, qt.Equals, ErrKeyReused)
 		})
 	}
 }
@@ -203,7 +203,7 @@
 func TestRace(t *testing.T) {
 	r := newRig(t)
 	var racing sync.WaitGroup
-	holders := make(chan *Held, 20)
+	holders := make(chan *HeldClaim, 20)
 	for n := range 20 {
 		racing.Go(func() {
 			book := r.a
@@ -226,7 +226,7 @@
 	r.c.Assert(err, qt.IsNil)
 	_, err = Settle(held.Claim, true, "olle", r.clock.Now())
 	r.c.Assert(err, qt.ErrorMatches, ".*only an unknown claim.*")
-	r.a.Lose(held)
+	r.a.MarkUnknown(held)
 	list, err := List(ctx, r.table, Unknown, r.clock.Now())
 	r.c.Assert(err, qt.IsNil)
 	r.c.Assert(list, qt.HasLen, 1)
--- a/charge/claim.go
+++ b/charge/claim.go
@@ -35,8 +35,8 @@
 	eventLose    = "lose"
 )
 
-// Skew is the largest difference of two clocks that the rules allow for.
-const Skew = 2 * time.Second
+// MaxClockSkew is the largest difference of two clocks that the rules allow for.
+const MaxClockSkew = 2 * time.Second
 
 // Errors of a transition that the state does not allow.
 var errState = errors.New("the claim's state does not allow that")
@@ -73,7 +73,7 @@
 // StateAt returns the claim's state at a time: a claim whose holder may send no more,
 // by any clock, and that says nothing is unknown.
 func (c *Claim) StateAt(now time.Time) State {
-	if c.State == Claimed && now.After(c.SendBefore.Add(2*Skew)) {
+	if c.State == Claimed && now.After(c.SendBefore.Add(2*MaxClockSkew)) {
 		return Unknown
 	}
 	return c.State
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// HashOf stands for a request: the same key with another hash is another request.
-func HashOf(method, target string, body []byte) string {
+// HashRequest stands for a request: the same key with another hash is another request.
+func HashRequest(method, target string, body []byte) string {
 	digest := sha256.New()
 	digest.Write([]byte(method + " " + target + "\n"))
 	digest.Write(body)
--- a/class/class_test.go
+++ b/class/class_test.go
@@ -91,8 +91,8 @@
 		c.Assert(found.Name, qt.Equals, test.want)
 	}
 	c := qt.New(t)
-	c.Assert(x.Named("desk").Name, qt.Equals, "desk")
-	c.Assert(x.Named("none"), qt.IsNil)
+	c.Assert(x.ByName("desk").Name, qt.Equals, "desk")
+	c.Assert(x.ByName("none"), qt.IsNil)
 }
 
 func FuzzDecode(f *testing.F) {
--- a/class/index.go
+++ b/class/index.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// Named returns the class of a name, or nil.
-func (x *Index) Named(name string) *lovageyard.Class {
+// ByName returns the class of a name, or nil.
+func (x *Index) ByName(name string) *lovageyard.Class {
 	position, found := slices.BinarySearchFunc(x.classes, name, func(c lovageyard.Class, name string) int {
 		return strings.Compare(c.Name, name)
 	})
--- a/control/report.go
+++ b/control/report.go
@@ -59,7 +59,7 @@
 func forServices(merged *wire.DemandReport, services []string, index *class.Index) *wire.DemandReport {
 	part := &wire.DemandReport{FailureDomain: merged.GetFailureDomain(), Reporter: merged.GetReporter(), Merged: true}
 	concerns := func(name string) bool {
-		k := index.Named(name)
+		k := index.ByName(name)
 		return k != nil && slices.Contains(services, k.Service)
 	}
 	for _, d := range merged.GetClasses() {
--- a/control/works.go
+++ b/control/works.go
@@ -50,7 +50,7 @@
 		c.setWork(k)
 	}
 	for name := range c.works {
-		if c.index.Named(name) == nil {
+		if c.index.ByName(name) == nil {
 			delete(c.works, name)
 		}
 	}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -95,7 +95,7 @@
 	view    *catalog.View
 	// serving is the handler that all requests go to; if it is nil, each has one of its own.
 	serving http.Handler
-	watch   *quarantine.Watch
+	watch   *quarantine.Monitor
 	sender  *sender
 	log     *strings.Builder
 	// key is the object that requests name, or "".
@@ -119,11 +119,11 @@
 	returned int
 }
 
-func (l *limit) Admit(_ context.Context, a *lovageyard.Account) quota.Answer {
+func (l *limit) Admit(_ context.Context, a *lovageyard.Account) quota.Decision {
 	if l.refuses && a != nil {
-		return quota.Answer{Verdict: quota.Refused, RetryAfter: time.Second}
+		return quota.Decision{Verdict: quota.Refused, RetryAfter: time.Second}
 	}
-	return quota.Answer{Verdict: quota.Admitted}
+	return quota.Decision{Verdict: quota.Admitted}
 }
 
 func (l *limit) Return(*lovageyard.Account) { l.returned++ }
@@ -197,9 +197,9 @@
 	})
 	table.SetCatalog(y.view.Snapshot, time.Now())
 	if y.hears {
-		y.sender.observer = &entry.Notices{Dispatch: table, Timer: timer.Clock{}, Logger: logger}
+		y.sender.observer = &entry.NoticeObserver{Dispatch: table, Timer: timer.Clock{}, Logger: logger}
 	}
-	return entry.NewHandler(entry.Parts{
+	return entry.NewHandler(entry.Settings{
 		Source: y.source(), Limits: y.limits, Codec: platform.Headers{}, Sender: y.sender, Dispatch: table, Quarantine: y.quarantine(logger), Quota: &y.quota,
 		Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet(),
 	})
@@ -208,11 +208,11 @@
 // living answers that no server has ended.
 type living struct{}
 
-func (living) HasEnded(context.Context, lovageyard.BackendServer) bool { return false }
+func (living) RefusesConnections(context.Context, lovageyard.BackendServer) bool { return false }
 
 // quarantine returns what remembers servers that ended.
-func (y *yard) quarantine(logger *logrus.Logger) *quarantine.Watch {
-	w := quarantine.NewWatch(quarantine.Settings{Prober: living{}, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
+func (y *yard) quarantine(logger *logrus.Logger) *quarantine.Monitor {
+	w := quarantine.NewMonitor(quarantine.Settings{Prober: living{}, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
 	y.c.Cleanup(w.Close)
 	y.watch = w
 	return w
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -147,13 +147,13 @@
 	q := x.handler.Quarantine
 	if a.err != nil && a.err.Broken {
 		x.broken++
-		q.Lost(a.choice.Server, x.fingerprint, a.sentAt)
+		q.RecordLoss(a.choice.Server, x.fingerprint, a.sentAt)
 	}
 	if a.err != nil && a.err.Ended || a.answer != nil && a.answer.Meta.Misdirected {
-		q.Ended(a.choice.Server)
+		q.RecordCrash(a.choice.Server)
 	}
 	if a.isGood() {
-		q.Answered(x.fingerprint)
+		q.RecordSuccess(x.fingerprint)
 	}
 }
 
@@ -221,7 +221,7 @@
 	if ctx.Err() != nil || x.request.Context().Err() != nil || len(x.tried) >= x.route.Attempts {
 		return false
 	}
-	if x.broken >= mostBroken || x.judge().Held {
+	if x.broken >= mostBroken || x.judge().Quarantined {
 		return false
 	}
 	if a.answer != nil && a.answer.Meta.NotRun && a.answer.Status == http.StatusBadRequest {
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -48,21 +48,21 @@
 
 // Quarantine judges requests by the servers that ended under them; requests go by their fingerprints.
 type Quarantine interface {
-	Judge(request uint64) quarantine.Judgement
-	Lost(server lovageyard.BackendServer, request uint64, sentAt time.Time)
-	Ended(server lovageyard.BackendServer)
-	Answered(request uint64)
+	Evaluate(request uint64) quarantine.Decision
+	RecordLoss(server lovageyard.BackendServer, request uint64, sentAt time.Time)
+	RecordCrash(server lovageyard.BackendServer)
+	RecordSuccess(request uint64)
 }
 
 // Quota judges whether requests are within the limits of their accounts.
 type Quota interface {
-	Admit(ctx context.Context, a *lovageyard.Account) quota.Answer
+	Admit(ctx context.Context, a *lovageyard.Account) quota.Decision
 	// Return takes back the admission of a request that has not run and will not.
 	Return(a *lovageyard.Account)
 }
 
-// Parts are what a Handler is made of.
-type Parts struct {
+// Settings are what a Handler is made of.
+type Settings struct {
 	Source     Source
 	Codec      Codec
 	Sender     Sender
@@ -77,12 +77,12 @@
 
 // Handler forwards callers' requests.
 type Handler struct {
-	Parts
+	Settings
 }
 
 // NewHandler returns a handler.
-func NewHandler(p Parts) *Handler {
-	return &Handler{Parts: p}
+func NewHandler(p Settings) *Handler {
+	return &Handler{Settings: p}
 }
 
 // ServeHTTP answers one request.
@@ -167,7 +167,7 @@
 		x.refuse(causeClosing, "this instance ends before the answer is due", retrySoon, nil)
 		return
 	}
-	if j := x.judge(); j.Held {
+	if j := x.judge(); j.Quarantined {
 		x.refuse(causeHeld, "servers end under this request", j.Until.Sub(x.began), nil)
 		return
 	}
@@ -182,8 +182,8 @@
 }
 
 // judge returns what is thought of the request.
-func (x *exchange) judge() quarantine.Judgement {
-	return x.handler.Quarantine.Judge(x.fingerprint)
+func (x *exchange) judge() quarantine.Decision {
+	return x.handler.Quarantine.Evaluate(x.fingerprint)
 }
 
 // outlivesInstance says whether the request may last longer than this instance, which leaves. It
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -9,15 +9,15 @@
 	"lovageyard.example/lovageyard/dispatch"
 )
 
-// Notices passes what servers ask for in their answers to the choice of servers.
-type Notices struct {
+// NoticeObserver passes what servers ask for in their answers to the choice of servers.
+type NoticeObserver struct {
 	Dispatch *dispatch.Table
 	Timer    lovageyard.Timer
 	Logger   *logrus.Logger
 }
 
 // Hear takes in the notice of an answer; its request was sent at a time.
-func (o *Notices) Hear(s lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time) {
+func (o *NoticeObserver) Hear(s lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time) {
 	change := o.Dispatch.Hear(s, n, sentAt, o.Timer.Now())
 	log := o.Logger.WithField("server", s.Name)
 	if change.Leaving {
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -66,12 +66,12 @@
 	beside := quarantine.Content{Method: http.MethodGet, Host: "a.example", Target: "/x/beside"}.Fingerprint()
 	for n := range 3 {
 		y.ask(http.MethodGet, "/x/deadly", "")
-		y.watch.Lost(lovageyard.BackendServer{Name: y.sender.sent[n].Server}, beside, time.Now())
+		y.watch.RecordLoss(lovageyard.BackendServer{Name: y.sender.sent[n].Server}, beside, time.Now())
 	}
-	y.c.Assert(y.watch.Judge(beside).Suspect, qt.IsTrue)
+	y.c.Assert(y.watch.Evaluate(beside).Suspect, qt.IsTrue)
 	y.c.Assert(y.ask(http.MethodGet, "/x/beside", "").StatusCode, qt.Equals, http.StatusOK)
 	y.c.Assert(y.ask(http.MethodGet, "/x/deadly", "").StatusCode, qt.Equals, http.StatusServiceUnavailable)
-	y.c.Assert(y.watch.Judge(beside), qt.Equals, quarantine.Judgement{})
+	y.c.Assert(y.watch.Evaluate(beside), qt.Equals, quarantine.Decision{})
 }
 
 // Requests for one object fell with its server. On their next attempts they go to several servers: together
@@ -96,9 +96,9 @@
 	ended := lovageyard.BackendServer{Name: "ended"}
 	for n := range count {
 		content := quarantine.Content{Method: http.MethodGet, Host: "a.example", Target: path(n)}
-		y.watch.Lost(ended, content.Fingerprint(), time.Now())
+		y.watch.RecordLoss(ended, content.Fingerprint(), time.Now())
 	}
-	y.watch.Ended(ended)
+	y.watch.RecordCrash(ended)
 	y.c.Assert(len(ask()) > 1, qt.IsTrue)
 	// Once they are answered, the object has its home again.
 	y.c.Assert(ask(), qt.HasLen, 1)
--- a/fleet/confirm.go
+++ b/fleet/confirm.go
@@ -23,7 +23,7 @@
 	// reads counts the answers of the platform.
 	reads int
 	read  []freshness.Read
-	words []freshness.Word
+	words []freshness.PeerReport
 }
 
 // KnowledgeAge returns how long ago the configuration in force was known to be the newest.
@@ -52,7 +52,7 @@
 	}
 	c.confirmations.reads++
 	c.confirmations.read = append(c.confirmations.read, freshness.Read{
-		BeganAt: m.beganAt, EndedAt: m.endedAt, PlatformTime: m.changes.PlatformTime,
+		StartedAt: m.beganAt, FinishedAt: m.endedAt, PlatformTime: m.changes.PlatformTime,
 	})
 }
 
@@ -61,10 +61,10 @@
 	if w == nil || c.state.Cursor(lovageyard.TableOrders) < w.GetVersion() {
 		return
 	}
-	c.confirmations.words = append(c.confirmations.words, freshness.Word{
-		AskedAt: askedAt,
-		Held:    time.Duration(w.GetHeldMs()) * time.Millisecond,
-		Age:     time.Duration(w.GetAgeMs()) * time.Millisecond,
+	c.confirmations.words = append(c.confirmations.words, freshness.PeerReport{
+		RequestedAt: askedAt,
+		ReplyDelay:  time.Duration(w.GetHeldMs()) * time.Millisecond,
+		Age:         time.Duration(w.GetAgeMs()) * time.Millisecond,
 	})
 }
 
@@ -73,10 +73,10 @@
 	pending := c.confirmations
 	c.confirmations.read, c.confirmations.words = nil, nil
 	for _, w := range pending.words {
-		c.freshness.Hear(w)
+		c.freshness.ObservePeer(w)
 	}
 	for _, r := range pending.read {
-		c.freshness.Read(r)
+		c.freshness.ObserveRead(r)
 	}
 	if len(pending.read) > 0 {
 		c.answerWaiters(c.settings.Timer.Now())
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -194,7 +194,7 @@
 			} else {
 				c.askForRows(now)
 			}
-		case <-c.settings.Quarantine.News():
+		case <-c.settings.Quarantine.Updates():
 			c.tellCrashes()
 			c.keepHolds()
 		case m := <-c.inbox.Messages():
--- a/fleet/crash.go
+++ b/fleet/crash.go
@@ -28,8 +28,8 @@
 
 // Quarantine remembers which requests were at servers that ended.
 type Quarantine interface {
-	// News delivers when there is something to tell.
-	News() <-chan struct{}
+	// Updates delivers when there is something to tell.
+	Updates() <-chan struct{}
 	// Merge takes in what a peer tells, and says whether any of it was news.
 	Merge(r quarantine.Report) bool
 	// Report returns all that others should know, and ReportSince what is new since a moment.
@@ -39,12 +39,12 @@
 	Digest() uint64
 	// Tick forgets what is too old to count.
 	Tick(now time.Time)
-	// Judge returns what is thought of a request.
-	Judge(request uint64) quarantine.Judgement
-	// Found returns the requests that are held since the last call by what this instance saw itself.
-	Found() []uint64
-	// ReportOf returns the crashes under one request.
-	ReportOf(request uint64) quarantine.Report
+	// Evaluate returns what is thought of a request.
+	Evaluate(request uint64) quarantine.Decision
+	// NewlyQuarantined returns the requests that are held since the last call by what this instance saw itself.
+	NewlyQuarantined() []uint64
+	// ReportFor returns the crashes under one request.
+	ReportFor(request uint64) quarantine.Report
 }
 
 // tellCrashes tells a few random peers what is new since the last time. News that comes soon after that
@@ -116,7 +116,7 @@
 	var crashes []*wire.Crash
 	for _, crash := range r.Crashes {
 		crashes = append(crashes, &wire.Crash{
-			Server: crash.Server.Name, Life: crash.Server.Life, Losses: toLosses(crash.Losses), AgeMs: crash.Age.Milliseconds(),
+			Server: crash.Server.Name, Life: crash.Server.Incarnation, Losses: toLosses(crash.Losses), AgeMs: crash.Age.Milliseconds(),
 		})
 	}
 	var clearances []*wire.Clearance
@@ -130,7 +130,7 @@
 	var r quarantine.Report
 	for _, crash := range crashes {
 		r.Crashes = append(r.Crashes, quarantine.Crash{
-			Server: quarantine.Server{Name: crash.GetServer(), Life: crash.GetLife()},
+			Server: quarantine.Server{Name: crash.GetServer(), Incarnation: crash.GetLife()},
 			Losses: fromLosses(crash.GetLosses()),
 			Age:    toAge(crash.GetAgeMs()),
 		})
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -18,10 +18,10 @@
 )
 
 // lose lets an instance see a server end under a request.
-func lose(w *quarantine.Watch, server string, request uint64) {
+func lose(w *quarantine.Monitor, server string, request uint64) {
 	s := lovageyard.BackendServer{Name: server, Service: "desk"}
-	w.Lost(s, request, time.Now())
-	w.Ended(s)
+	w.RecordLoss(s, request, time.Now())
+	w.RecordCrash(s)
 }
 
 // Each of three instances sees one server end under a request. All of a fleet learn that it is held, one
@@ -30,10 +30,10 @@
 	const count, deadly, popular = 14, 1, 2
 	g := newGroup(t)
 	client := platform.NewStore(g.address, quiet())
-	var watches []*quarantine.Watch
+	var watches []*quarantine.Monitor
 	start := func(n int) {
 		s := g.settings(fmt.Sprint("entry-", n), 1, client, client)
-		w := quarantine.NewWatch(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
+		w := quarantine.NewMonitor(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
 		s.Quarantine = w
 		control := g.startWith(s)
 		g.c.Cleanup(func() {
@@ -43,7 +43,7 @@
 		watches = append(watches, w)
 		g.until("readiness", func() bool { return control.View().Ready })
 	}
-	untilAll := func(what string, holds func(w *quarantine.Watch) bool) {
+	untilAll := func(what string, holds func(w *quarantine.Monitor) bool) {
 		for n, w := range watches {
 			g.until(fmt.Sprintf("%s at instance %d", what, n), func() bool { return holds(w) })
 		}
@@ -54,28 +54,28 @@
 	for n := range 3 {
 		w := watches[4*n]
 		// It is sent on only once the server before has ended.
-		g.until("word of the end before", func() bool { return n == 0 || w.Judge(deadly).Suspect })
+		g.until("word of the end before", func() bool { return n == 0 || w.Evaluate(deadly).Suspect })
 		lose(w, fmt.Sprint("server-", n), deadly)
 	}
 	for n := range 2 {
 		lose(watches[5*n], fmt.Sprint("other-", n), popular)
 	}
-	untilAll("the deadly request is held", func(w *quarantine.Watch) bool { return w.Judge(deadly).Held })
-	untilAll("the popular request is suspect", func(w *quarantine.Watch) bool { return w.Judge(popular).Suspect })
+	untilAll("the deadly request is held", func(w *quarantine.Monitor) bool { return w.Evaluate(deadly).Quarantined })
+	untilAll("the popular request is suspect", func(w *quarantine.Monitor) bool { return w.Evaluate(popular).Suspect })
 	// An answer is told only by an instance that knows of more than one end.
-	untilAll("all ends are known", func(w *quarantine.Watch) bool { return w.Digest() == watches[0].Digest() })
-	watches[7].Answered(popular)
-	untilAll("the popular request is cleared", func(w *quarantine.Watch) bool { return !w.Judge(popular).Suspect })
+	untilAll("all ends are known", func(w *quarantine.Monitor) bool { return w.Digest() == watches[0].Digest() })
+	watches[7].RecordSuccess(popular)
+	untilAll("the popular request is cleared", func(w *quarantine.Monitor) bool { return !w.Evaluate(popular).Suspect })
 	start(count)
-	untilAll("the deadly request is held", func(w *quarantine.Watch) bool { return w.Judge(deadly).Held })
-	untilAll("the popular request is cleared", func(w *quarantine.Watch) bool { return !w.Judge(popular).Suspect })
+	untilAll("the deadly request is held", func(w *quarantine.Monitor) bool { return w.Evaluate(deadly).Quarantined })
+	untilAll("the popular request is cleared", func(w *quarantine.Monitor) bool { return !w.Evaluate(popular).Suspect })
 	g.until("all know the same", func() bool { return watches[0].Digest() == watches[count].Digest() })
 }
 
 // silent finds out nothing of servers.
 type silent struct{}
 
-func (silent) HasEnded(context.Context, lovageyard.BackendServer) bool { return false }
+func (silent) RefusesConnections(context.Context, lovageyard.BackendServer) bool { return false }
 
 // counting counts the bytes of what instances tell each other of ends.
 type counting struct {
@@ -99,11 +99,11 @@
 	g := newGroup(t)
 	client := platform.NewStore(g.address, quiet())
 	var bytes atomic.Int64
-	var watches []*quarantine.Watch
+	var watches []*quarantine.Monitor
 	for n := range count {
 		s := g.settings(fmt.Sprint("entry-", n), 1, client, client)
 		s.Peers = counting{s.Peers, &bytes}
-		w := quarantine.NewWatch(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
+		w := quarantine.NewMonitor(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
 		s.Quarantine = w
 		control := g.startWith(s)
 		g.c.Cleanup(func() {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -135,8 +135,8 @@
 }
 
 // quarantine returns what remembers servers that ended, for one instance.
-func (g *group) quarantine() *quarantine.Watch {
-	w := quarantine.NewWatch(quarantine.Settings{Timer: timer.Clock{}, Logger: quiet(), Metrics: meter.NewSet()})
+func (g *group) quarantine() *quarantine.Monitor {
+	w := quarantine.NewMonitor(quarantine.Settings{Timer: timer.Clock{}, Logger: quiet(), Metrics: meter.NewSet()})
 	g.c.Cleanup(w.Close)
 	return w
 }
--- a/fleet/hold.go
+++ b/fleet/hold.go
@@ -33,7 +33,7 @@
 
 // keepHolds writes a row for each request that this instance was the one to hold.
 func (c *Control) keepHolds() {
-	for _, request := range c.settings.Quarantine.Found() {
+	for _, request := range c.settings.Quarantine.NewlyQuarantined() {
 		c.inbox.Go(func() { c.keepHold(request) })
 	}
 }
@@ -41,8 +41,8 @@
 // keepHold writes the row of a request, until it is done or the request is held no more.
 func (c *Control) keepHold(request uint64) {
 	key := quarantine.Format(request)
-	for c.inbox.Context().Err() == nil && c.settings.Quarantine.Judge(request).Held {
-		row := toHoldRow(c.settings.Quarantine.ReportOf(request), c.settings.Timer.Now())
+	for c.inbox.Context().Err() == nil && c.settings.Quarantine.Evaluate(request).Quarantined {
+		row := toHoldRow(c.settings.Quarantine.ReportFor(request), c.settings.Timer.Now())
 		value, err := json.Marshal(row)
 		if err != nil {
 			c.settings.Logger.WithError(err).Error("a held request can't be kept")
@@ -84,7 +84,7 @@
 			continue
 		}
 		c.settings.Quarantine.Merge(report)
-		if !c.settings.Quarantine.Judge(request).Held {
+		if !c.settings.Quarantine.Evaluate(request).Quarantined {
 			c.removeHold(row)
 		}
 	}
@@ -109,7 +109,7 @@
 	for _, crash := range r.Crashes {
 		for _, l := range crash.Losses {
 			row.Crashes = append(row.Crashes, crashRow{
-				Server: crash.Server.Name, Life: crash.Server.Life,
+				Server: crash.Server.Name, Life: crash.Server.Incarnation,
 				EndedAt: now.Add(-crash.Age).UnixMilli(), SentAt: now.Add(-l.SentAge).UnixMilli(),
 			})
 		}
@@ -131,7 +131,7 @@
 	}
 	for _, crash := range held.Crashes {
 		report.Crashes = append(report.Crashes, quarantine.Crash{
-			Server: quarantine.Server{Name: crash.Server, Life: crash.Life},
+			Server: quarantine.Server{Name: crash.Server, Incarnation: crash.Life},
 			Losses: []quarantine.Loss{{Request: request, SentAge: max(0, now.Sub(time.UnixMilli(crash.SentAt)))}},
 			Age:    max(0, now.Sub(time.UnixMilli(crash.EndedAt))),
 		})
--- a/fleet/hold_test.go
+++ b/fleet/hold_test.go
@@ -18,9 +18,9 @@
 	const deadly = 0xdead
 	g := newGroup(t)
 	client := platform.NewStore(g.address, quiet())
-	start := func(name string) *quarantine.Watch {
+	start := func(name string) *quarantine.Monitor {
 		s := g.settings(name, 1, client, client)
-		w := quarantine.NewWatch(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
+		w := quarantine.NewMonitor(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
 		s.Quarantine = w
 		control := g.startWith(s)
 		g.c.Cleanup(w.Close)
@@ -44,6 +44,6 @@
 	g.stop("entry-0")
 	second := start("entry-1")
 	defer g.stop("entry-1")
-	g.until("the request is held", func() bool { return second.Judge(deadly).Held })
+	g.until("the request is held", func() bool { return second.Evaluate(deadly).Quarantined })
 	g.until("the old row is gone", func() bool { return len(rows()) == 2 })
 }
--- a/freshness/tracker_test.go
+++ b/freshness/tracker_test.go
@@ -16,7 +16,7 @@
 	c := qt.New(t)
 	var tracker freshness.Tracker
 	c.Assert(tracker.Age(100*second), qt.Equals, freshness.Unknown)
-	tracker.Hear(freshness.Word{AskedAt: 50 * second, Age: freshness.Unknown})
+	tracker.ObservePeer(freshness.PeerReport{RequestedAt: 50 * second, Age: freshness.Unknown})
 	c.Assert(tracker.Age(100*second), qt.Equals, freshness.Unknown)
 }
 
@@ -24,7 +24,7 @@
 func TestAgeCountsFromTheBeginningOfACall(t *testing.T) {
 	c := qt.New(t)
 	var tracker freshness.Tracker
-	tracker.Read(freshness.Read{BeganAt: 10 * second, EndedAt: 13 * second})
+	tracker.ObserveRead(freshness.Read{StartedAt: 10 * second, FinishedAt: 13 * second})
 	c.Assert(tracker.Age(14*second), qt.Equals, 4*second)
 }
 
@@ -32,23 +32,23 @@
 func TestCallThatWaitedCountsFromItsAnswer(t *testing.T) {
 	c := qt.New(t)
 	var tracker freshness.Tracker
-	tracker.Read(freshness.Read{BeganAt: 10 * second, EndedAt: 10 * second, PlatformTime: 500 * second})
-	tracker.Read(freshness.Read{BeganAt: 11 * second, EndedAt: 13 * second, PlatformTime: 503 * second})
+	tracker.ObserveRead(freshness.Read{StartedAt: 10 * second, FinishedAt: 10 * second, PlatformTime: 500 * second})
+	tracker.ObserveRead(freshness.Read{StartedAt: 11 * second, FinishedAt: 13 * second, PlatformTime: 503 * second})
 	c.Assert(tracker.Age(14*second), qt.Equals, second)
 	// A clock that has jumped ahead is not believed, nor one that began anew.
-	tracker.Read(freshness.Read{BeganAt: 14 * second, EndedAt: 15 * second, PlatformTime: 900 * second})
+	tracker.ObserveRead(freshness.Read{StartedAt: 14 * second, FinishedAt: 15 * second, PlatformTime: 900 * second})
 	c.Assert(tracker.Age(15*second), qt.Equals, second)
-	tracker.Read(freshness.Read{BeganAt: 16 * second, EndedAt: 17 * second, PlatformTime: 3 * second})
+	tracker.ObserveRead(freshness.Read{StartedAt: 16 * second, FinishedAt: 17 * second, PlatformTime: 3 * second})
 	c.Assert(tracker.Age(17*second), qt.Equals, second)
 }
 
 func TestWordOfAPeerCountsFromItsKnowledge(t *testing.T) {
 	c := qt.New(t)
 	var tracker freshness.Tracker
-	tracker.Hear(freshness.Word{AskedAt: 10 * second, Held: 2 * second, Age: 1 * second})
+	tracker.ObservePeer(freshness.PeerReport{RequestedAt: 10 * second, ReplyDelay: 2 * second, Age: 1 * second})
 	c.Assert(tracker.Age(12*second), qt.Equals, second)
 	// Word that was long on its way does not make the knowledge older, nor newer.
-	tracker.Hear(freshness.Word{AskedAt: 10 * second, Held: 0, Age: 1 * second})
+	tracker.ObservePeer(freshness.PeerReport{RequestedAt: 10 * second, ReplyDelay: 0, Age: 1 * second})
 	c.Assert(tracker.Age(20*second), qt.Equals, 9*second)
 }
 
@@ -69,16 +69,16 @@
 				began := now
 				answered := began + span.Draw(t, "waited")
 				now = answered + span.Draw(t, "answer on its way")
-				relay.Read(freshness.Read{BeganAt: began, EndedAt: now, PlatformTime: answered + platformAhead})
+				relay.ObserveRead(freshness.Read{StartedAt: began, FinishedAt: now, PlatformTime: answered + platformAhead})
 				relayTruth = max(relayTruth, answered)
 				continue
 			}
 			asked := now
 			arrived := asked + span.Draw(t, "question on its way")
 			answered := arrived + span.Draw(t, "held")
-			word := freshness.Word{AskedAt: asked + followerAhead, Held: answered - arrived, Age: relay.Age(answered)}
+			word := freshness.PeerReport{RequestedAt: asked + followerAhead, ReplyDelay: answered - arrived, Age: relay.Age(answered)}
 			now = answered + span.Draw(t, "word on its way")
-			follower.Hear(word)
+			follower.ObservePeer(word)
 			followerTruth = max(followerTruth, relayTruth)
 			if age := follower.Age(now + followerAhead); age != freshness.Unknown && age < now-followerTruth {
 				t.Fatalf("an age of %v, the true one is %v", age, now-followerTruth)
--- a/link/link.go
+++ b/link/link.go
@@ -162,9 +162,9 @@
 	return nil, failure
 }
 
-// HasEnded says whether a server's port refuses connections. A connection that is taken is kept for
+// RefusesConnections says whether a server's port refuses connections. A connection that is taken is kept for
 // the next request.
-func (l *Link) HasEnded(ctx context.Context, server lovageyard.BackendServer) bool {
+func (l *Link) RefusesConnections(ctx context.Context, server lovageyard.BackendServer) bool {
 	c, err := l.open(ctx, server.Address)
 	if err != nil {
 		return isRefused(err)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -412,12 +412,12 @@
 	b := newBackendServer(c, answer("1", "one"))
 	l := newLink(c)
 	described := lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()}
-	c.Assert(l.HasEnded(context.Background(), described), qt.IsFalse)
+	c.Assert(l.RefusesConnections(context.Background(), described), qt.IsFalse)
 	// The probe's connection carries the next request.
 	_, err := send(c, l, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	_, conns := b.seen()
 	c.Assert(conns, qt.Equals, 1)
 	b.listener.Close()
-	c.Assert(l.HasEnded(context.Background(), described), qt.IsTrue)
+	c.Assert(l.RefusesConnections(context.Background(), described), qt.IsTrue)
 }
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -51,7 +51,7 @@
 	link      *link.Link
 	platform  *platform.Store
 	peers     *peer.Client
-	charges   *charge.Book
+	charges   *charge.Store
 	callers   *http.Server
 	peering   *http.Server
 	operators *http.Server
@@ -158,8 +158,8 @@
 		LeaseSpan: o.LeaseSpan,
 		Seed:      uint64(self.Life),
 	})
-	d.charges = charge.NewBook(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Life))
-	handler := caller.NewHandler(caller.Parts{
+	d.charges = charge.NewStore(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Life))
+	handler := caller.NewHandler(caller.Settings{
 		Source:   d.control,
 		Watcher:  d.control,
 		Charges:  d.charges,
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -62,7 +62,7 @@
 	peers    *peer.Client
 	link     *link.Link
 	dispatch *dispatch.Table
-	watch    *quarantine.Watch
+	watch    *quarantine.Monitor
 	control  *fleet.Control
 	limiter  *quota.Limiter
 	callers  *http.Server
@@ -156,9 +156,9 @@
 		Bounds:        o.bounds(),
 		Seed:          uint64(self.Life),
 	})
-	notices := &entry.Notices{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
+	notices := &entry.NoticeObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
 	e.link = link.New(platform.Headers{}, e.timer, notices)
-	e.watch = quarantine.NewWatch(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
+	e.watch = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
 	e.control = fleet.New(fleet.Settings{
 		Self:       self,
 		Feed:       e.store,
@@ -229,7 +229,7 @@
 // serveAll begins to serve on all sockets.
 func (e *edge) serveAll(s *edgeSockets) {
 	o := e.options
-	e.callers = edgeServer(entry.NewHandler(entry.Parts{
+	e.callers = edgeServer(entry.NewHandler(entry.Settings{
 		Source:     e.control,
 		Codec:      platform.Headers{},
 		Sender:     e.link,
@@ -302,7 +302,7 @@
 	e.meters.Update(meter.ConfigurationNow, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
 	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.KnowledgeAge()))
-	e.meters.Update(meter.LimitsTight, int64(e.limiter.Tight()))
+	e.meters.Update(meter.LimitsTight, int64(e.limiter.MeteredCount()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
 	e.meters.Update(meter.LogDroppedOther, dropped.Other)
--- a/operator/charges.go
+++ b/operator/charges.go
@@ -42,7 +42,7 @@
 
 func (h *Handler) readCharge(w http.ResponseWriter, r *http.Request) (c charge.Claim, version int64, ok bool) {
 	key := charge.RowKey(r.PathValue("class"), r.PathValue("key"))
-	c, version, err := charge.Show(r.Context(), h.store.table, key)
+	c, version, err := charge.Get(r.Context(), h.store.table, key)
 	if errors.Is(err, lovageyard.ErrNotFound) {
 		problem(w, http.StatusNotFound, errors.Errorf("charge %q does not exist", key))
 		return c, 0, false
--- a/quarantine/agree_test.go
+++ b/quarantine/agree_test.go
@@ -29,11 +29,11 @@
 				for range rapid.IntRange(1, 4).Draw(r, "requests") {
 					lost := request()
 					seen := table()
-					seen.Lose(server(servers), lost, now.Add(-time.Millisecond), now)
+					seen.RecordLoss(server(servers), lost, now.Add(-time.Millisecond), now)
 					at[lost] = true
 				}
 				for _, one := range tables {
-					one.End(server(servers), now)
+					one.RecordCrash(server(servers), now)
 				}
 				for lost := range at {
 					ends[lost]++
@@ -41,7 +41,7 @@
 			},
 			"answer": func(*rapid.T) {
 				now = now.Add(1500 * time.Millisecond)
-				table().Clear(request(), now)
+				table().RecordSuccess(request(), now)
 			},
 			"tell": func(*rapid.T) {
 				now = now.Add(100 * time.Millisecond)
@@ -57,10 +57,10 @@
 			}
 		}
 		for _, one := range tables {
-			if one.Digest() != tables[0].Digest() || !slices.EqualFunc(one.Held(), tables[0].Held(), sameRequest) {
-				r.Fatalf("held: %v and %v", one.Held(), tables[0].Held())
+			if one.Digest() != tables[0].Digest() || !slices.EqualFunc(one.Quarantined(), tables[0].Quarantined(), sameRequest) {
+				r.Fatalf("held: %v and %v", one.Quarantined(), tables[0].Quarantined())
 			}
-			for _, h := range one.Held() {
+			for _, h := range one.Quarantined() {
 				if ends[h.Request] < 3 {
 					r.Fatalf("request %d is held after %d ends", h.Request, ends[h.Request])
 				}
@@ -69,4 +69,4 @@
 	})
 }
 
-func sameRequest(a, b quarantine.Hold) bool { return a.Request == b.Request }
+func sameRequest(a, b quarantine.QuarantinedRequest) bool { return a.Request == b.Request }
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -82,8 +82,8 @@
 	return t.ReportSince(time.Time{}, now)
 }
 
-// ReportOf returns the crashes under one request, without what else was there.
-func (t *Table) ReportOf(request uint64, now time.Time) Report {
+// ReportFor returns the crashes under one request, without what else was there.
+func (t *Table) ReportFor(request uint64, now time.Time) Report {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var r Report
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -18,17 +18,17 @@
 	certain = 5
 )
 
-// Judgement is what is thought of a request.
-type Judgement struct {
+// Decision is what is thought of a request.
+type Decision struct {
 	// Suspect says that the request was at a server that ended, for no reason that is known.
 	Suspect bool
 	// Held says that the request ends servers and is refused, until Until.
-	Held  bool
-	Until time.Time
+	Quarantined bool
+	Until       time.Time
 }
 
-// Hold is a request that is held.
-type Hold struct {
+// QuarantinedRequest is a request that is held.
+type QuarantinedRequest struct {
 	Request uint64
 	// Servers are the names of the servers that ended under it.
 	Servers []string
@@ -39,12 +39,12 @@
 type judgements struct {
 	// counts is in how many crashes a request was since it was last answered well.
 	counts   map[uint64]int
-	held     map[uint64]Hold
+	held     map[uint64]QuarantinedRequest
 	suspects map[uint64]bool
 }
 
 func newJudgements() judgements {
-	return judgements{counts: make(map[uint64]int), held: make(map[uint64]Hold), suspects: make(map[uint64]bool)}
+	return judgements{counts: make(map[uint64]int), held: make(map[uint64]QuarantinedRequest), suspects: make(map[uint64]bool)}
 }
 
 // judge works out anew what is thought of all requests. The request that was at most of the servers
@@ -72,7 +72,7 @@
 }
 
 // hold returns how a request is held: as long as enough crashes under it are remembered.
-func (t *Table) hold(request uint64, servers []Server, now time.Time) Hold {
+func (t *Table) hold(request uint64, servers []Server, now time.Time) QuarantinedRequest {
 	var names []string
 	var ends []time.Time
 	for _, s := range servers {
@@ -84,7 +84,7 @@
 	if len(ends) >= enough {
 		until = ends[enough-1]
 	}
-	return Hold{Request: request, Servers: names, Until: until}
+	return QuarantinedRequest{Request: request, Servers: names, Until: until}
 }
 
 // evidence is which requests were at which servers that ended.
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -10,8 +10,8 @@
 
 // Server is one life of a backend server; see lovageyard.BackendServer.
 type Server struct {
-	Name string
-	Life int64
+	Name        string
+	Incarnation int64
 }
 
 // Crash is the end of a server while it had requests.
@@ -51,5 +51,5 @@
 
 // hash returns a number that stands for a life of a server.
 func (s Server) hash() uint64 {
-	return instance.Mix(xxhash.Sum64String(s.Name) ^ uint64(s.Life))
+	return instance.Mix(xxhash.Sum64String(s.Name) ^ uint64(s.Incarnation))
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -55,10 +55,10 @@
 	return &Table{crashes: make(map[Server]*crash), cleared: make(map[uint64]clearance), judged: newJudgements()}
 }
 
-// Lose notes that a server broke off a request. It says whether it is open if the server has ended, and
+// RecordLoss notes that a server broke off a request. It says whether it is open if the server has ended, and
 // whether others should know, as it has. A request that was answered well a moment ago, as one
 // that many callers send, does not end servers: it was there by chance.
-func (t *Table) Lose(server Server, request uint64, sentAt, now time.Time) (open, news bool) {
+func (t *Table) RecordLoss(server Server, request uint64, sentAt, now time.Time) (open, news bool) {
 	if t.recent.has(request, now) {
 		return false, false
 	}
@@ -116,8 +116,8 @@
 	return found && !cleared.at.Before(c.at)
 }
 
-// End notes that a server has ended, and returns the requests that it had if that is news.
-func (t *Table) End(server Server, now time.Time) []uint64 {
+// RecordCrash notes that a server has ended, and returns the requests that it had if that is news.
+func (t *Table) RecordCrash(server Server, now time.Time) []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.crashes[server]
@@ -141,10 +141,10 @@
 	}
 }
 
-// Clear notes that a server answered a request well, and says whether other instances should know. They
+// RecordSuccess notes that a server answered a request well, and says whether other instances should know. They
 // needn't of a request that was at one crash, as most are that fell with a server: on a day on which
 // many servers end, that would be thousands.
-func (t *Table) Clear(request uint64, now time.Time) bool {
+func (t *Table) RecordSuccess(request uint64, now time.Time) bool {
 	t.recent.note(request, now)
 	if !t.isKnown(request) {
 		return false
@@ -176,21 +176,21 @@
 	return t.judged.counts[request] > 0
 }
 
-// Judge returns what is thought of a request.
-func (t *Table) Judge(request uint64, now time.Time) Judgement {
+// Evaluate returns what is thought of a request.
+func (t *Table) Evaluate(request uint64, now time.Time) Decision {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	if h, found := t.judged.held[request]; found && now.Before(h.Until) {
-		return Judgement{Held: true, Until: h.Until}
+		return Decision{Quarantined: true, Until: h.Until}
 	}
-	return Judgement{Suspect: t.judged.suspects[request]}
+	return Decision{Suspect: t.judged.suspects[request]}
 }
 
-// Held returns the requests that are held, in order.
-func (t *Table) Held() []Hold {
+// Quarantined returns the requests that are held, in order.
+func (t *Table) Quarantined() []QuarantinedRequest {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return slices.SortedFunc(maps.Values(t.judged.held), func(a, b Hold) int { return cmp.Compare(a.Request, b.Request) })
+	return slices.SortedFunc(maps.Values(t.judged.held), func(a, b QuarantinedRequest) int { return cmp.Compare(a.Request, b.Request) })
 }
 
 // Expire forgets what is too old to count.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -33,13 +33,13 @@
 func (p *play) end(n int, requests ...uint64) {
 	p.now = p.now.Add(400 * time.Millisecond)
 	for _, r := range requests {
-		p.Lose(server(n), r, p.now, p.now)
+		p.RecordLoss(server(n), r, p.now, p.now)
 	}
-	p.End(server(n), p.now)
+	p.RecordCrash(server(n), p.now)
 }
 
-func (p *play) judge(request uint64) quarantine.Judgement {
-	return p.Judge(request, p.now)
+func (p *play) judge(request uint64) quarantine.Decision {
+	return p.Evaluate(request, p.now)
 }
 
 const deadly, beside, other = 1, 2, 3
@@ -48,14 +48,14 @@
 	c := qt.New(t)
 	p := newPlay()
 	p.end(1, deadly, 11, 12)
-	c.Assert(p.judge(deadly), qt.Equals, quarantine.Judgement{Suspect: true})
+	c.Assert(p.judge(deadly), qt.Equals, quarantine.Decision{Suspect: true})
 	p.end(2, deadly, 13)
-	c.Assert(p.judge(deadly).Held, qt.IsFalse)
+	c.Assert(p.judge(deadly).Quarantined, qt.IsFalse)
 	p.end(3, 14, deadly)
-	c.Assert(p.judge(deadly).Held, qt.IsTrue)
+	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
 	// What was beside it is as good as any other.
 	for _, r := range []uint64{11, 12, 13, 14} {
-		c.Assert(p.judge(r), qt.Equals, quarantine.Judgement{}, qt.Commentf("%d", r))
+		c.Assert(p.judge(r), qt.Equals, quarantine.Decision{}, qt.Commentf("%d", r))
 	}
 }
 
@@ -67,12 +67,12 @@
 	for n := range 3 {
 		p.end(n, beside, deadly)
 	}
-	c.Assert(p.judge(deadly), qt.Equals, quarantine.Judgement{Suspect: true})
-	c.Assert(p.judge(beside), qt.Equals, quarantine.Judgement{Suspect: true})
+	c.Assert(p.judge(deadly), qt.Equals, quarantine.Decision{Suspect: true})
+	c.Assert(p.judge(beside), qt.Equals, quarantine.Decision{Suspect: true})
 	p.end(3, deadly, other)
-	c.Assert(p.judge(deadly).Held, qt.IsTrue)
-	c.Assert(p.judge(beside), qt.Equals, quarantine.Judgement{})
-	c.Assert(p.judge(other), qt.Equals, quarantine.Judgement{})
+	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
+	c.Assert(p.judge(beside), qt.Equals, quarantine.Decision{})
+	c.Assert(p.judge(other), qt.Equals, quarantine.Decision{})
 }
 
 func TestAnswerTellsWhichOfTwoIsTheCause(t *testing.T) {
@@ -82,9 +82,9 @@
 		p.end(n, beside, deadly)
 	}
 	p.now = p.now.Add(time.Second)
-	c.Assert(p.Clear(beside, p.now), qt.IsTrue)
-	c.Assert(p.judge(deadly).Held, qt.IsTrue)
-	c.Assert(p.judge(beside), qt.Equals, quarantine.Judgement{})
+	c.Assert(p.RecordSuccess(beside, p.now), qt.IsTrue)
+	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
+	c.Assert(p.judge(beside), qt.Equals, quarantine.Decision{})
 }
 
 // If all that is known of two requests stays the same, servers must not go on ending.
@@ -94,9 +94,9 @@
 	for n := range 4 {
 		p.end(n, beside, deadly)
 	}
-	c.Assert(p.judge(deadly).Held, qt.IsFalse)
+	c.Assert(p.judge(deadly).Quarantined, qt.IsFalse)
 	p.end(4, beside, deadly)
-	c.Assert(p.judge(deadly).Held || p.judge(beside).Held, qt.IsTrue)
+	c.Assert(p.judge(deadly).Quarantined || p.judge(beside).Quarantined, qt.IsTrue)
 }
 
 // Answers get lost, and connections are reset, at servers that go on.
@@ -104,19 +104,19 @@
 	c := qt.New(t)
 	p := newPlay()
 	for n := range 9 {
-		open, news := p.Lose(server(n), deadly, p.now, p.now)
+		open, news := p.RecordLoss(server(n), deadly, p.now, p.now)
 		c.Assert(open, qt.IsTrue)
 		c.Assert(news, qt.IsFalse)
 	}
-	c.Assert(p.judge(deadly), qt.Equals, quarantine.Judgement{})
+	c.Assert(p.judge(deadly), qt.Equals, quarantine.Decision{})
 	// Once it is known that they have ended, what was there counts.
-	p.End(server(0), p.now)
+	p.RecordCrash(server(0), p.now)
 	c.Assert(p.judge(deadly).Suspect, qt.IsTrue)
 	p.now = p.now.Add(time.Minute)
 	p.Expire(p.now)
-	p.End(server(1), p.now)
-	p.End(server(2), p.now)
-	c.Assert(p.judge(deadly).Held, qt.IsFalse)
+	p.RecordCrash(server(1), p.now)
+	p.RecordCrash(server(2), p.now)
+	c.Assert(p.judge(deadly).Quarantined, qt.IsFalse)
 }
 
 // A request that everyone asks for is at many ends and answered well in between.
@@ -126,8 +126,8 @@
 	for n := range 30 {
 		p.end(n, other)
 		p.now = p.now.Add(100 * time.Millisecond)
-		p.Clear(other, p.now)
-		c.Assert(p.judge(other).Held, qt.IsFalse)
+		p.RecordSuccess(other, p.now)
+		c.Assert(p.judge(other).Quarantined, qt.IsFalse)
 	}
 }
 
@@ -135,12 +135,12 @@
 	c := qt.New(t)
 	p := newPlay()
 	for life := range int64(3) {
-		s := quarantine.Server{Name: "server", Life: life + 1}
+		s := quarantine.Server{Name: "server", Incarnation: life + 1}
 		p.now = p.now.Add(time.Second)
-		p.Lose(s, deadly, p.now, p.now)
-		p.End(s, p.now)
+		p.RecordLoss(s, deadly, p.now, p.now)
+		p.RecordCrash(s, p.now)
 	}
-	c.Assert(p.judge(deadly).Held, qt.IsTrue)
+	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
 }
 
 func TestHoldEnds(t *testing.T) {
@@ -153,7 +153,7 @@
 	c.Assert(until.Sub(p.now) > 5*time.Minute, qt.IsTrue)
 	p.now = until.Add(time.Second)
 	p.Expire(p.now)
-	c.Assert(p.judge(deadly).Held, qt.IsFalse)
+	c.Assert(p.judge(deadly).Quarantined, qt.IsFalse)
 	c.Assert(p.Report(p.now).IsEmpty(), qt.IsTrue)
 }
 
@@ -166,12 +166,12 @@
 	}
 	old := first.Report(first.now)
 	first.now = first.now.Add(5 * time.Second)
-	c.Assert(first.Clear(other, first.now), qt.IsTrue)
+	c.Assert(first.RecordSuccess(other, first.now), qt.IsTrue)
 	second.now = first.now
 	c.Assert(second.Merge(first.Report(first.now), second.now), qt.IsTrue)
 	second.Merge(old, second.now.Add(-5*time.Second))
 	second.end(7, other)
-	c.Assert(second.judge(other).Held, qt.IsFalse)
+	c.Assert(second.judge(other).Quarantined, qt.IsFalse)
 	c.Assert(second.Merge(first.Report(first.now), second.now), qt.IsFalse)
 }
 
@@ -189,7 +189,7 @@
 	for n := range 2 {
 		p.end(5+n, other)
 	}
-	c.Assert(p.judge(other).Held, qt.IsTrue)
+	c.Assert(p.judge(other).Quarantined, qt.IsTrue)
 }
 
 // Instances that see parts of it, and tell each other, think the same.
@@ -202,11 +202,11 @@
 	a.now = b.now
 	a.end(3, 13)
 	b.end(3, deadly)
-	c.Assert(a.judge(deadly).Held, qt.IsFalse)
+	c.Assert(a.judge(deadly).Quarantined, qt.IsFalse)
 	c.Assert(a.Merge(b.Report(b.now), a.now), qt.IsTrue)
 	c.Assert(b.Merge(a.Report(a.now), b.now), qt.IsTrue)
-	c.Assert(a.judge(deadly).Held, qt.IsTrue)
-	c.Assert(b.judge(deadly).Held, qt.IsTrue)
+	c.Assert(a.judge(deadly).Quarantined, qt.IsTrue)
+	c.Assert(b.judge(deadly).Quarantined, qt.IsTrue)
 	c.Assert(a.Digest(), qt.Equals, b.Digest())
 	c.Assert(a.Merge(b.Report(b.now), a.now), qt.IsFalse)
 }
@@ -233,7 +233,7 @@
 	}
 	c.Assert(len(a.Report(a.now).Crashes), qt.Equals, 128)
 	c.Assert(a.Digest(), qt.Equals, b.Digest())
-	c.Assert(a.judge(deadly).Held, qt.IsTrue)
+	c.Assert(a.judge(deadly).Quarantined, qt.IsTrue)
 }
 
 // A failure domain loses its servers at once. A request that a client had sent again and again was at
@@ -243,14 +243,14 @@
 	p := newPlay()
 	for n := range 6 {
 		at := p.now.Add(time.Duration(n) * 20 * time.Millisecond)
-		p.Lose(server(n), other, p.now, at)
-		p.End(server(n), at)
+		p.RecordLoss(server(n), other, p.now, at)
+		p.RecordCrash(server(n), at)
 	}
-	c.Assert(p.judge(other), qt.Equals, quarantine.Judgement{Suspect: true})
+	c.Assert(p.judge(other), qt.Equals, quarantine.Decision{Suspect: true})
 	for n := range 2 {
 		p.end(10+n, other)
 	}
-	c.Assert(p.judge(other).Held, qt.IsTrue)
+	c.Assert(p.judge(other).Quarantined, qt.IsTrue)
 }
 
 // Many callers ask for the same, each second. It was at three servers that others ended, one after
@@ -259,19 +259,19 @@
 	c := qt.New(t)
 	p := newPlay()
 	for n := range 3 {
-		p.Clear(other, p.now)
+		p.RecordSuccess(other, p.now)
 		p.now = p.now.Add(time.Second)
 		p.end(n, other, deadly)
-		c.Assert(p.judge(other), qt.Equals, quarantine.Judgement{})
+		c.Assert(p.judge(other), qt.Equals, quarantine.Decision{})
 	}
-	c.Assert(p.judge(deadly).Held, qt.IsTrue)
+	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
 	// What was answered well for long may still end servers from one moment on.
-	p.Clear(14, p.now)
+	p.RecordSuccess(14, p.now)
 	p.now = p.now.Add(time.Minute)
 	for n := range 3 {
 		p.end(20+n, 14)
 	}
-	c.Assert(p.judge(14).Held, qt.IsTrue)
+	c.Assert(p.judge(14).Quarantined, qt.IsTrue)
 }
 
 // Random play: one deadly request among many, each of which is repeated after an end, as callers and
@@ -297,7 +297,7 @@
 			place(next, 0)
 		}
 		ends := 0
-		for ; !p.judge(deadly).Held && ends < 9; ends++ {
+		for ; !p.judge(deadly).Quarantined && ends < 9; ends++ {
 			place(deadly, 0)
 			var lost []uint64
 			for _, request := range slices.Sorted(maps.Keys(at)) {
@@ -313,7 +313,7 @@
 			// Some end well, and others begin.
 			for _, request := range slices.Sorted(maps.Keys(at)) {
 				if request != deadly && random.IntN(4) == 0 {
-					p.Clear(request, p.now)
+					p.RecordSuccess(request, p.now)
 					delete(at, request)
 					next++
 					place(next, 0)
@@ -321,7 +321,7 @@
 			}
 		}
 		c.Assert(ends <= 4, qt.IsTrue, qt.Commentf("seed %d: %d servers ended", seed, ends))
-		for _, h := range p.Held() {
+		for _, h := range p.Quarantined() {
 			c.Assert(h.Request, qt.Equals, uint64(deadly), qt.Commentf("seed %d", seed))
 		}
 	}
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -23,8 +23,8 @@
 
 // Prober finds out whether backend servers have ended.
 type Prober interface {
-	// HasEnded says whether a server's port refuses connections.
-	HasEnded(ctx context.Context, server lovageyard.BackendServer) bool
+	// RefusesConnections says whether a server's port refuses connections.
+	RefusesConnections(ctx context.Context, server lovageyard.BackendServer) bool
 }
 
 // Settings are what a Watch is made of.
@@ -35,8 +35,8 @@
 	Metrics *meter.Set
 }
 
-// Watch keeps a Table by what attempts at requests show, and by what other instances tell.
-type Watch struct {
+// Monitor keeps a Table by what attempts at requests show, and by what other instances tell.
+type Monitor struct {
 	settings Settings
 	table    *Table
 	news     chan struct{}
@@ -52,9 +52,9 @@
 	found []uint64
 }
 
-// NewWatch returns a Watch that has seen nothing.
-func NewWatch(s Settings) *Watch {
-	w := &Watch{
+// NewMonitor returns a Watch that has seen nothing.
+func NewMonitor(s Settings) *Monitor {
+	w := &Monitor{
 		settings: s,
 		table:    NewTable(),
 		news:     make(chan struct{}, 1),
@@ -66,7 +66,7 @@
 }
 
 // Close gives up all probes and waits for their end.
-func (w *Watch) Close() {
+func (w *Monitor) Close() {
 	// Under the lock no probe begins any more once the context has ended.
 	w.mu.Lock()
 	w.cancel()
@@ -74,20 +74,20 @@
 	w.probes.Wait()
 }
 
-// News delivers once this instance has seen something itself that others should know.
-func (w *Watch) News() <-chan struct{} {
+// Updates delivers once this instance has seen something itself that others should know.
+func (w *Monitor) Updates() <-chan struct{} {
 	return w.news
 }
 
-// Judge returns what is thought of a request.
-func (w *Watch) Judge(request uint64) Judgement {
-	return w.table.Judge(request, w.settings.Timer.Now())
+// Evaluate returns what is thought of a request.
+func (w *Monitor) Evaluate(request uint64) Decision {
+	return w.table.Evaluate(request, w.settings.Timer.Now())
 }
 
-// Lost notes that a server broke off a request that was sent to it at a time. Only if the server has ended
+// RecordLoss notes that a server broke off a request that was sent to it at a time. Only if the server has ended
 // is that anything against the request: answers get lost as well, and connections are reset.
-func (w *Watch) Lost(server lovageyard.BackendServer, request uint64, sentAt time.Time) {
-	open, news := w.table.Lose(lifeOf(server), request, sentAt, w.settings.Timer.Now())
+func (w *Monitor) RecordLoss(server lovageyard.BackendServer, request uint64, sentAt time.Time) {
+	open, news := w.table.RecordLoss(lifeOf(server), request, sentAt, w.settings.Timer.Now())
 	if open {
 		w.probe(server)
 	}
@@ -96,10 +96,10 @@
 	}
 }
 
-// Ended notes that a server's port refuses connections, or that another server has it.
-func (w *Watch) Ended(server lovageyard.BackendServer) {
+// RecordCrash notes that a server's port refuses connections, or that another server has it.
+func (w *Monitor) RecordCrash(server lovageyard.BackendServer) {
 	life := lifeOf(server)
-	requests := w.table.End(life, w.settings.Timer.Now())
+	requests := w.table.RecordCrash(life, w.settings.Timer.Now())
 	if len(requests) == 0 {
 		return
 	}
@@ -114,22 +114,22 @@
 	w.tell()
 }
 
-// Answered notes that a server answered a request well.
-func (w *Watch) Answered(request uint64) {
-	if w.table.Clear(request, w.settings.Timer.Now()) {
+// RecordSuccess notes that a server answered a request well.
+func (w *Monitor) RecordSuccess(request uint64) {
+	if w.table.RecordSuccess(request, w.settings.Timer.Now()) {
 		w.settings.Logger.WithField("fingerprint", Format(request)).Info("a request is cleared")
 		w.tell()
 	}
 }
 
 // Tick forgets what is too old to count.
-func (w *Watch) Tick(now time.Time) {
+func (w *Monitor) Tick(now time.Time) {
 	w.table.Expire(now)
 	w.showHeld()
 }
 
 // Merge takes in what another instance tells, and says whether any of it was news.
-func (w *Watch) Merge(r Report) bool {
+func (w *Monitor) Merge(r Report) bool {
 	if !w.table.Merge(r, w.settings.Timer.Now()) {
 		return false
 	}
@@ -138,22 +138,22 @@
 }
 
 // Report returns all that other instances should know.
-func (w *Watch) Report() Report {
+func (w *Monitor) Report() Report {
 	return w.table.Report(w.settings.Timer.Now())
 }
 
 // ReportSince returns what this instance has learnt since a moment.
-func (w *Watch) ReportSince(since time.Time) Report {
+func (w *Monitor) ReportSince(since time.Time) Report {
 	return w.table.ReportSince(since, w.settings.Timer.Now())
 }
 
 // Digest returns a number that is the same for instances that know the same.
-func (w *Watch) Digest() uint64 {
+func (w *Monitor) Digest() uint64 {
 	return w.table.Digest()
 }
 
-// Found returns the requests that are held since the last call by what this instance saw itself.
-func (w *Watch) Found() []uint64 {
+// NewlyQuarantined returns the requests that are held since the last call by what this instance saw itself.
+func (w *Monitor) NewlyQuarantined() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	found := w.found
@@ -161,13 +161,13 @@
 	return found
 }
 
-// ReportOf returns the crashes under one request.
-func (w *Watch) ReportOf(request uint64) Report {
-	return w.table.ReportOf(request, w.settings.Timer.Now())
+// ReportFor returns the crashes under one request.
+func (w *Monitor) ReportFor(request uint64) Report {
+	return w.table.ReportFor(request, w.settings.Timer.Now())
 }
 
 // tell makes known that there is news; nobody waits for it to be taken.
-func (w *Watch) tell() {
+func (w *Monitor) tell() {
 	began := w.showHeld()
 	w.mu.Lock()
 	w.found = append(w.found, began...)
@@ -179,7 +179,7 @@
 }
 
 // probe finds out beside the request whether a server has ended; one probe of a server runs at a time.
-func (w *Watch) probe(server lovageyard.BackendServer) {
+func (w *Monitor) probe(server lovageyard.BackendServer) {
 	life := lifeOf(server)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -193,18 +193,18 @@
 		delete(w.probing, life)
 		w.mu.Unlock()
 		if ended {
-			w.Ended(server)
+			w.RecordCrash(server)
 		}
 	})
 }
 
 // hasEnded asks a server a few times whether it has ended.
-func (w *Watch) hasEnded(server lovageyard.BackendServer) bool {
+func (w *Monitor) hasEnded(server lovageyard.BackendServer) bool {
 	for n := range probeTimes {
 		if n > 0 && !w.pause(probeEvery) {
 			return false
 		}
-		if w.settings.Prober.HasEnded(w.context, server) {
+		if w.settings.Prober.RefusesConnections(w.context, server) {
 			return true
 		}
 	}
@@ -212,7 +212,7 @@
 }
 
 // pause waits for a span; it returns false if the Watch is closed before.
-func (w *Watch) pause(d time.Duration) bool {
+func (w *Monitor) pause(d time.Duration) bool {
 	after := w.settings.Timer.After(d)
 	defer after.Close()
 	select {
@@ -224,12 +224,12 @@
 }
 
 // showHeld writes a line for each request whose hold has begun or ended, and returns the first.
-func (w *Watch) showHeld() []uint64 {
+func (w *Monitor) showHeld() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	held := make(map[uint64]bool)
 	var began []uint64
-	for _, h := range w.table.Held() {
+	for _, h := range w.table.Quarantined() {
 		held[h.Request] = true
 		if w.shown[h.Request] {
 			continue
@@ -252,7 +252,7 @@
 }
 
 func lifeOf(server lovageyard.BackendServer) Server {
-	return Server{Name: server.Name, Life: server.Life}
+	return Server{Name: server.Name, Incarnation: server.Life}
 }
 
 func format(requests []uint64) []string {
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -22,15 +22,15 @@
 	probes atomic.Int64
 }
 
-func (p *ports) HasEnded(context.Context, lovageyard.BackendServer) bool {
+func (p *ports) RefusesConnections(context.Context, lovageyard.BackendServer) bool {
 	n := p.probes.Add(1)
 	return p.endsAt > 0 && n >= p.endsAt
 }
 
-func newWatch(c *qt.C, p *ports) *quarantine.Watch {
+func newWatch(c *qt.C, p *ports) *quarantine.Monitor {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	w := quarantine.NewWatch(quarantine.Settings{Prober: p, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
+	w := quarantine.NewMonitor(quarantine.Settings{Prober: p, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
 	c.Cleanup(w.Close)
 	return w
 }
@@ -48,9 +48,9 @@
 	c := qt.New(t)
 	p := &ports{endsAt: 2}
 	w := newWatch(c, p)
-	w.Lost(lovageyard.BackendServer{Name: "server"}, deadly, time.Now())
-	until(c, "the request is a suspect", func() bool { return w.Judge(deadly).Suspect })
-	<-w.News()
+	w.RecordLoss(lovageyard.BackendServer{Name: "server"}, deadly, time.Now())
+	until(c, "the request is a suspect", func() bool { return w.Evaluate(deadly).Suspect })
+	<-w.Updates()
 }
 
 // A server that goes on is probed a few times for all the requests that it broke off at once.
@@ -59,10 +59,10 @@
 	p := &ports{}
 	w := newWatch(c, p)
 	for request := range uint64(50) {
-		w.Lost(lovageyard.BackendServer{Name: "server"}, request, time.Now())
+		w.RecordLoss(lovageyard.BackendServer{Name: "server"}, request, time.Now())
 	}
 	until(c, "two probes", func() bool { return p.probes.Load() == 2 })
-	c.Assert(w.Judge(deadly), qt.Equals, quarantine.Judgement{})
+	c.Assert(w.Evaluate(deadly), qt.Equals, quarantine.Decision{})
 }
 
 // What was there is told only by what this instance saw itself; word of others is not found here.
@@ -72,12 +72,12 @@
 	for _, name := range []string{"1", "2", "3"} {
 		server := lovageyard.BackendServer{Name: name}
 		time.Sleep(2 * time.Millisecond)
-		seen.Lost(server, deadly, time.Now())
-		seen.Ended(server)
+		seen.RecordLoss(server, deadly, time.Now())
+		seen.RecordCrash(server)
 	}
-	c.Assert(told.Merge(seen.ReportOf(deadly)), qt.IsTrue)
-	c.Assert(told.Judge(deadly).Held, qt.IsTrue)
-	c.Assert(seen.Found(), qt.DeepEquals, []uint64{deadly})
-	c.Assert(seen.Found(), qt.HasLen, 0)
-	c.Assert(told.Found(), qt.HasLen, 0)
+	c.Assert(told.Merge(seen.ReportFor(deadly)), qt.IsTrue)
+	c.Assert(told.Evaluate(deadly).Quarantined, qt.IsTrue)
+	c.Assert(seen.NewlyQuarantined(), qt.DeepEquals, []uint64{deadly})
+	c.Assert(seen.NewlyQuarantined(), qt.HasLen, 0)
+	c.Assert(told.NewlyQuarantined(), qt.HasLen, 0)
 }
--- a/quota/convert.go
+++ b/quota/convert.go
@@ -41,7 +41,7 @@
 	var out []*wire.Limit
 	for _, s := range states {
 		out = append(out, &wire.Limit{
-			Account: s.Account, Granted: int64(s.Granted), Level: int64(s.Level), Tight: s.Tight, RetryAfterMs: s.RetryAfter.Milliseconds(),
+			Account: s.Account, Granted: int64(s.Granted), Level: int64(s.Level), Tight: s.Metered, RetryAfterMs: s.RetryAfter.Milliseconds(),
 		})
 	}
 	return out
@@ -51,7 +51,7 @@
 	var out []State
 	for _, s := range states {
 		out = append(out, State{
-			Account: s.GetAccount(), Granted: int(max(0, s.GetGranted())), Level: int(max(0, s.GetLevel())), Tight: s.GetTight(),
+			Account: s.GetAccount(), Granted: int(max(0, s.GetGranted())), Level: int(max(0, s.GetLevel())), Metered: s.GetTight(),
 			RetryAfter: time.Duration(max(0, s.GetRetryAfterMs())) * time.Millisecond,
 		})
 	}
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -40,8 +40,8 @@
 	Refused
 )
 
-// Answer is a verdict, and when a refused caller should come back.
-type Answer struct {
+// Decision is a verdict, and when a refused caller should come back.
+type Decision struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
 }
@@ -99,8 +99,8 @@
 	return &Ledger{entries: make(map[string]*entry), words: make(map[string]word), began: now, sharers: 1}
 }
 
-// SetSharers sets the number of instances that share the limits.
-func (l *Ledger) SetSharers(count int) {
+// SetInstanceCount sets the number of instances that share the limits.
+func (l *Ledger) SetInstanceCount(count int) {
 	l.sharers = max(1, count)
 }
 
@@ -118,8 +118,8 @@
 	return e.tight || now-e.heardAt > trustFor
 }
 
-// Take judges a request of an account with an owner.
-func (l *Ledger) Take(a *lovageyard.Account, owner string, now time.Duration) Answer {
+// Admit judges a request of an account with an owner.
+func (l *Ledger) Admit(a *lovageyard.Account, owner string, now time.Duration) Decision {
 	_, known := l.entries[a.Name]
 	e := l.entry(a.Name)
 	if !known {
@@ -135,13 +135,13 @@
 	return answer
 }
 
-// HasHeard says whether an owner has answered.
-func (l *Ledger) HasHeard() bool {
+// HasOwnerReply says whether an owner has answered.
+func (l *Ledger) HasOwnerReply() bool {
 	return len(l.words) > 0
 }
 
-// Tight returns the number of accounts that need tokens by an owner's word of late.
-func (l *Ledger) Tight(now time.Duration) int {
+// MeteredCount returns the number of accounts that need tokens by an owner's word of late.
+func (l *Ledger) MeteredCount(now time.Duration) int {
 	count := 0
 	for _, e := range l.entries {
 		if e.tight && now-e.heardAt <= trustFor {
@@ -163,7 +163,7 @@
 }
 
 // Resume judges a request that was pending once more; it stays pending if there is no answer yet.
-func (l *Ledger) Resume(a *lovageyard.Account, now time.Duration) Answer {
+func (l *Ledger) Resume(a *lovageyard.Account, now time.Duration) Decision {
 	e := l.entry(a.Name)
 	answer := l.judge(e, a, now)
 	if answer.Verdict != Pending {
@@ -172,17 +172,17 @@
 	return answer
 }
 
-func (l *Ledger) judge(e *entry, a *lovageyard.Account, now time.Duration) Answer {
+func (l *Ledger) judge(e *entry, a *lovageyard.Account, now time.Duration) Decision {
 	switch {
 	case !e.isTight(now) && float64(e.used) < l.unreported(a):
 		e.used++
-		return Answer{Verdict: Admitted}
+		return Decision{Verdict: Admitted}
 	case e.takeToken(now):
-		return Answer{Verdict: Admitted}
+		return Decision{Verdict: Admitted}
 	case now < e.pausedUntil:
-		return Answer{Verdict: Refused, RetryAfter: e.retryAfter}
+		return Decision{Verdict: Refused, RetryAfter: e.retryAfter}
 	}
-	return Answer{Verdict: Pending}
+	return Decision{Verdict: Pending}
 }
 
 // unreported returns how many requests of an account may be admitted without tokens before they are reported.
@@ -190,18 +190,18 @@
 	return max(fewUnreported, unreportedPart*a.Burst/float64(l.sharers))
 }
 
-// GiveUp judges a request that has waited for an owner in vain, by this instance's own part of the limit.
-func (l *Ledger) GiveUp(a *lovageyard.Account, now time.Duration) Answer {
+// AdmitLocally judges a request that has waited for an owner in vain, by this instance's own part of the limit.
+func (l *Ledger) AdmitLocally(a *lovageyard.Account, now time.Duration) Decision {
 	e := l.entry(a.Name)
 	e.waiting--
 	rate := a.Rate / float64(l.sharers)
 	e.own = min(1+rate*ownSpan.Seconds(), e.own+rate*(now-e.ownAt).Seconds())
 	e.ownAt = now
 	if e.own < 1 {
-		return Answer{Verdict: Refused, RetryAfter: retryUnasked}
+		return Decision{Verdict: Refused, RetryAfter: retryUnasked}
 	}
 	e.own--
-	return Answer{Verdict: Admitted}
+	return Decision{Verdict: Admitted}
 }
 
 // Return takes back the admission of a request that has not run and will not.
@@ -259,16 +259,16 @@
 	return max(e.waiting, e.ahead()-e.tokens)
 }
 
-// Failed takes back a report of which it is not known whether it was heard. What was used is told again;
+// RestoreReport takes back a report of which it is not known whether it was heard. What was used is told again;
 // what was returned is not, as it could count twice.
-func (l *Ledger) Failed(uses []Use) {
+func (l *Ledger) RestoreReport(uses []Use) {
 	for _, u := range uses {
 		l.entry(u.Account).used += u.Used
 	}
 }
 
-// Settled takes in an owner's answer, to a question of a moment, for all accounts that it owns.
-func (l *Ledger) Settled(owner string, owns func(account string) bool, warmingUp bool, states []State, askedAt, now time.Duration) {
+// ApplyReply takes in an owner's answer, to a question of a moment, for all accounts that it owns.
+func (l *Ledger) ApplyReply(owner string, owns func(account string) bool, warmingUp bool, states []State, askedAt, now time.Duration) {
 	if before := l.words[owner]; before.askedAt > askedAt {
 		return
 	}
@@ -287,7 +287,7 @@
 }
 
 func (e *entry) settled(s State, askedAt, now time.Duration) {
-	e.tight, e.heardAt, e.level = s.Tight, askedAt, s.Level
+	e.tight, e.heardAt, e.level = s.Metered, askedAt, s.Level
 	e.expire(now)
 	if s.Granted > 0 && e.tokens == 0 {
 		// Tokens that come to others expire with these.
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -21,10 +21,10 @@
 	a := &lovageyard.Account{Name: "a", Rate: 100, Burst: 100}
 	now := time.Hour
 	l := quota.NewLedger(now)
-	l.SetSharers(instances)
-	l.Settled("owner", all, false, nil, now, now)
+	l.SetInstanceCount(instances)
+	l.ApplyReply("owner", all, false, nil, now, now)
 	admitted := 0
-	for l.Take(a, "owner", now).Verdict == quota.Admitted && admitted < enough {
+	for l.Admit(a, "owner", now).Verdict == quota.Admitted && admitted < enough {
 		admitted++
 	}
 	c.Assert(admitted > 1, qt.IsTrue)
@@ -32,7 +32,7 @@
 	uses := l.Report("owner", all, now)
 	c.Assert(uses, qt.HasLen, 1)
 	c.Assert(uses[0].Used, qt.Equals, admitted)
-	c.Assert(l.Take(a, "owner", now).Verdict, qt.Equals, quota.Admitted)
+	c.Assert(l.Admit(a, "owner", now).Verdict, qt.Equals, quota.Admitted)
 }
 
 // Without word of an owner, requests need tokens.
@@ -41,10 +41,10 @@
 	a := &lovageyard.Account{Name: "a", Rate: 100, Burst: 100}
 	now := time.Hour
 	l := quota.NewLedger(now)
-	c.Assert(l.Take(a, "owner", now).Verdict, qt.Equals, quota.Pending)
-	l.Settled("owner", all, false, nil, now, now)
-	c.Assert(l.Take(a, "owner", now.Truncate(time.Second)).Verdict, qt.Equals, quota.Admitted)
-	c.Assert(l.Take(a, "owner", now+time.Minute).Verdict, qt.Equals, quota.Pending)
+	c.Assert(l.Admit(a, "owner", now).Verdict, qt.Equals, quota.Pending)
+	l.ApplyReply("owner", all, false, nil, now, now)
+	c.Assert(l.Admit(a, "owner", now.Truncate(time.Second)).Verdict, qt.Equals, quota.Admitted)
+	c.Assert(l.Admit(a, "owner", now+time.Minute).Verdict, qt.Equals, quota.Pending)
 }
 
 // Tokens that are not used in time go back, and are used by nobody here.
@@ -53,10 +53,10 @@
 	a := &lovageyard.Account{Name: "a", Rate: 100, Burst: 100}
 	now := time.Hour
 	l := quota.NewLedger(now)
-	l.Settled("owner", all, true, []quota.State{{Account: "a", Granted: 3, Tight: true}}, now, now)
-	c.Assert(l.Take(a, "owner", now).Verdict, qt.Equals, quota.Admitted)
+	l.ApplyReply("owner", all, true, []quota.State{{Account: "a", Granted: 3, Metered: true}}, now, now)
+	c.Assert(l.Admit(a, "owner", now).Verdict, qt.Equals, quota.Admitted)
 	now += time.Second
-	c.Assert(l.Take(a, "owner", now).Verdict, qt.Equals, quota.Pending)
+	c.Assert(l.Admit(a, "owner", now).Verdict, qt.Equals, quota.Pending)
 	uses := l.Report("owner", all, now)
 	c.Assert(uses[0].Returned, qt.Equals, 2)
 	c.Assert(uses[0].Wanted, qt.Equals, 1)
@@ -68,14 +68,14 @@
 	a := &lovageyard.Account{Name: "a", Rate: 100, Burst: 100}
 	now := time.Hour
 	l := quota.NewLedger(now)
-	l.Settled("owner", all, false, nil, now, now)
-	l.Take(a, "owner", now)
-	l.Take(a, "owner", now)
+	l.ApplyReply("owner", all, false, nil, now, now)
+	l.Admit(a, "owner", now)
+	l.Admit(a, "owner", now)
 	l.Report("owner", all, now)
 	l.Return("a")
 	uses := l.Report("owner", all, now)
 	c.Assert(uses[0].Returned, qt.Equals, 1)
-	l.Failed([]quota.Use{{Account: "a", Used: 2, Returned: 1}})
+	l.RestoreReport([]quota.Use{{Account: "a", Used: 2, Returned: 1}})
 	uses = l.Report("owner", all, now)
 	c.Assert(uses[0].Used, qt.Equals, 2)
 	c.Assert(uses[0].Returned, qt.Equals, 0)
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -125,7 +125,7 @@
 func (l *Limiter) hasHeard() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.HasHeard()
+	return l.ledger.HasOwnerReply()
 }
 
 // Close ends the reports and waits for them.
@@ -136,15 +136,15 @@
 
 // Admit says whether a request of an account is within its limit. It waits for the account's owner only
 // while the account is near its limit.
-func (l *Limiter) Admit(ctx context.Context, a *lovageyard.Account) Answer {
+func (l *Limiter) Admit(ctx context.Context, a *lovageyard.Account) Decision {
 	if a == nil || a.Rate <= 0 {
-		return Answer{Verdict: Admitted}
+		return Decision{Verdict: Admitted}
 	}
 	l.mu.Lock()
 	l.arrange()
 	now := l.settings.Timer.Elapsed()
 	owner := l.ownerOf(a.Name)
-	answer := l.ledger.Take(a, owner, now)
+	answer := l.ledger.Admit(a, owner, now)
 	changed := l.changed
 	urgent := l.ledger.IsUrgent(a, now)
 	l.mu.Unlock()
@@ -162,7 +162,7 @@
 }
 
 // await waits for an owner's answer to a request that is pending.
-func (l *Limiter) await(ctx context.Context, a *lovageyard.Account, changed <-chan struct{}) Answer {
+func (l *Limiter) await(ctx context.Context, a *lovageyard.Account, changed <-chan struct{}) Decision {
 	wait := waitFor
 	if !l.hasHeard() {
 		wait = waitForFirst
@@ -189,10 +189,10 @@
 	}
 }
 
-func (l *Limiter) giveUp(a *lovageyard.Account) Answer {
+func (l *Limiter) giveUp(a *lovageyard.Account) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.GiveUp(a, l.settings.Timer.Elapsed())
+	return l.ledger.AdmitLocally(a, l.settings.Timer.Elapsed())
 }
 
 // Return takes back the admission of a request that has not run and will not.
@@ -205,11 +205,11 @@
 	l.ledger.Return(a.Name)
 }
 
-// Tight returns the number of accounts that are near their limits, by the owners' word.
-func (l *Limiter) Tight() int {
+// MeteredCount returns the number of accounts that are near their limits, by the owners' word.
+func (l *Limiter) MeteredCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.Tight(l.settings.Timer.Elapsed())
+	return l.ledger.MeteredCount(l.settings.Timer.Elapsed())
 }
 
 func (l *Limiter) wake() {
@@ -232,7 +232,7 @@
 		next.since = l.settings.Timer.Elapsed()
 	}
 	l.order = next
-	l.ledger.SetSharers(next.sharers)
+	l.ledger.SetInstanceCount(next.sharers)
 }
 
 // ownerOf returns the owner of an account.
@@ -276,8 +276,8 @@
 	return l.order.since, l.order.place(l.settings.Self) == l.order.placeOf(name)
 }
 
-// Sharers returns the number of instances that share the limits.
-func (l *Limiter) Sharers() int {
+// InstanceCount returns the number of instances that share the limits.
+func (l *Limiter) InstanceCount() int {
 	return l.order.sharers
 }
 
@@ -302,7 +302,7 @@
 		}
 		l.toldAt[owner] = now
 		if owner == l.settings.Self {
-			states := l.owner.Settle(l.settings.Self, uses, l, now)
+			states := l.owner.ApplyReport(l.settings.Self, uses, l, now)
 			l.settled(owner, owns, l.owner.IsWarmingUp(now), states, now)
 			continue
 		}
@@ -361,14 +361,14 @@
 // settled takes in an owner's answer and wakes the requests that wait for it.
 func (l *Limiter) settled(owner string, owns func(string) bool, warmingUp bool, states []State, askedAt time.Duration) {
 	delete(l.avoided, owner)
-	l.ledger.Settled(owner, owns, warmingUp, states, askedAt, l.settings.Timer.Elapsed())
+	l.ledger.ApplyReply(owner, owns, warmingUp, states, askedAt, l.settings.Timer.Elapsed())
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // failed turns to the next owners.
 func (l *Limiter) failed(owner string, uses []Use, now time.Duration, err error) {
-	l.ledger.Failed(uses)
+	l.ledger.RestoreReport(uses)
 	l.avoided[owner] = l.avoided[owner].again(now)
 	if l.context.Err() == nil {
 		l.settings.Logger.WithError(err).WithField("owner", owner).Info("an owner of limits did not answer")
@@ -382,6 +382,6 @@
 	defer l.mu.Unlock()
 	l.arrange()
 	now := l.settings.Timer.Elapsed()
-	states := l.owner.Settle(r.GetInstance(), fromUses(r.GetUses()), l, now)
+	states := l.owner.ApplyReport(r.GetInstance(), fromUses(r.GetUses()), l, now)
 	return &wire.SettleReply{States: toStates(states), WarmingUp: l.owner.IsWarmingUp(now)}, nil
 }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -91,7 +91,7 @@
 func (w *world) start(n *node) {
 	n.dead, n.calling, n.waiting = false, false, nil
 	n.ledger, n.owner = quota.NewLedger(w.now), quota.NewOwner(bound, w.now)
-	n.ledger.SetSharers(len(w.nodes))
+	n.ledger.SetInstanceCount(len(w.nodes))
 	n.avoided, n.avoidFor, n.keptFrom = make(map[int]time.Duration), make(map[int]time.Duration), w.now
 	n.trying = make(map[int]bool)
 	n.toldAt = w.now - beatEvery
@@ -104,7 +104,7 @@
 }
 
 func (l limits) Account(string) *lovageyard.Account { return &l.w.account }
-func (l limits) Sharers() int                       { return len(l.w.nodes) }
+func (l limits) InstanceCount() int                 { return len(l.w.nodes) }
 func (l limits) OwnedSince(string) (time.Duration, bool) {
 	return l.n.keptFrom, l.n.place == 0
 }
@@ -159,11 +159,11 @@
 
 func (w *world) take(n *node) {
 	owner := w.ownerOf(n).name
-	w.count(n, n.ledger.Take(&w.account, owner, w.now))
+	w.count(n, n.ledger.Admit(&w.account, owner, w.now))
 	n.urgent = n.urgent || n.ledger.IsUrgent(&w.account, w.now)
 }
 
-func (w *world) count(n *node, a quota.Answer) {
+func (w *world) count(n *node, a quota.Decision) {
 	switch a.Verdict {
 	case quota.Admitted:
 		w.admitted[len(w.admitted)-1]++
@@ -178,7 +178,7 @@
 func (w *world) giveUp(n *node) {
 	for len(n.waiting) > 0 && w.now-n.waiting[0] >= waitFor {
 		n.waiting = n.waiting[1:]
-		w.count(n, n.ledger.GiveUp(&w.account, w.now))
+		w.count(n, n.ledger.AdmitLocally(&w.account, w.now))
 	}
 }
 
@@ -209,7 +209,7 @@
 		case c.answered:
 			w.settled(c)
 		default:
-			c.states = c.to.owner.Settle(c.from.name, c.uses, limits{w, c.to}, w.now)
+			c.states = c.to.owner.ApplyReport(c.from.name, c.uses, limits{w, c.to}, w.now)
 			c.warmingUp = c.to.owner.IsWarmingUp(w.now)
 			c.answered, c.arrives = true, w.now+oneWay
 			w.calls = append(w.calls, c)
@@ -227,7 +227,7 @@
 	} else {
 		c.from.calling = false
 	}
-	c.from.ledger.Failed(c.uses)
+	c.from.ledger.RestoreReport(c.uses)
 	span := min(avoidMost, max(avoidFor, 2*c.from.avoidFor[c.to.place]))
 	c.from.avoidFor[c.to.place], c.from.avoided[c.to.place] = span, w.now+span
 	c.from.urgent = true
@@ -242,7 +242,7 @@
 	} else {
 		n.calling = false
 	}
-	n.ledger.Settled(c.to.name, func(string) bool { return true }, c.warmingUp, c.states, c.askedAt, w.now)
+	n.ledger.ApplyReply(c.to.name, func(string) bool { return true }, c.warmingUp, c.states, c.askedAt, w.now)
 	waiting := n.waiting
 	n.waiting = nil
 	for _, since := range waiting {
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -57,8 +57,8 @@
 	Granted int
 	// Level is the number of tokens that are left in the bucket.
 	Level int
-	// Tight says that requests need tokens.
-	Tight bool
+	// Metered says that requests need tokens.
+	Metered bool
 	// RetryAfter is when there may be tokens again for what was not granted, or 0 if that is not known: the
 	// instances that share the limit have just started.
 	RetryAfter time.Duration
@@ -86,8 +86,8 @@
 type Limits interface {
 	// Account returns the present limits of an account, or nil if it has none.
 	Account(name string) *lovageyard.Account
-	// Sharers returns how many instances share the limits.
-	Sharers() int
+	// InstanceCount returns how many instances share the limits.
+	InstanceCount() int
 	// OwnedSince returns since when the account is this instance's to keep. It returns false if it is another's,
 	// which does not answer those who report here.
 	OwnedSince(name string) (time.Duration, bool)
@@ -98,10 +98,10 @@
 	return !o.serving || now-o.servingSince < warmUp
 }
 
-// Settle takes in an instance's report and returns the states of the accounts in it and of all that are tight.
-func (o *Owner) Settle(instance string, uses []Use, limits Limits, now time.Duration) []State {
+// ApplyReport takes in an instance's report and returns the states of the accounts in it and of all that are tight.
+func (o *Owner) ApplyReport(instance string, uses []Use, limits Limits, now time.Duration) []State {
 	o.reportedAt[instance] = now
-	share := o.share(limits.Sharers(), now)
+	share := o.share(limits.InstanceCount(), now)
 	var states []State
 	reported := make(map[string]bool, len(uses))
 	for _, u := range uses {
@@ -118,7 +118,7 @@
 			continue
 		}
 		if b.tight && !reported[name] {
-			states = append(states, State{Account: name, Tight: true})
+			states = append(states, State{Account: name, Metered: true})
 		}
 	}
 	return states
@@ -196,7 +196,7 @@
 	left -= float64(granted)
 	b.demand += float64(u.Used+u.Wanted-u.Returned) / demandSpan.Seconds()
 	b.judge(left, rate, capacity)
-	state := State{Account: a.Name, Granted: granted, Level: max(0, int(left)), Tight: b.tight}
+	state := State{Account: a.Name, Granted: granted, Level: max(0, int(left)), Metered: b.tight}
 	if o.serving {
 		state.RetryAfter = retryAfter(float64(u.Wanted-granted), left, rate)
 	}
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -161,7 +161,7 @@
 // tooLate says whether a request may not begin any more, by the sender's clock.
 func tooLate(r *http.Request) bool {
 	ms, err := strconv.ParseInt(r.Header.Get(lovageyard.SendBeforeHeader), 10, 64)
-	return err == nil && time.Now().After(time.UnixMilli(ms).Add(charge.Skew))
+	return err == nil && time.Now().After(time.UnixMilli(ms).Add(charge.MaxClockSkew))
 }
 
 func (s *backendServer) currentFaults() serverFaults {
