--- a/control/works.go
+++ b/control/works.go
@@ -23,7 +23,7 @@
 	planSeen time.Time
 	stepper  *move.Stepper
 	forced   *move.Limiter
-	budget   *server.Budget
+	budget   *server.RetryBudget
 	counts   []*route.HomeCounter
 	rates    []*homeRate
 	measured time.Time
@@ -50,7 +50,7 @@
 		c.setWork(k)
 	}
 	for name := range c.works {
-		if c.index.Named(name) == nil {
+		if c.index.ByName(name) == nil {
 			delete(c.works, name)
 		}
 	}
@@ -74,7 +74,7 @@
 	if w == nil {
 		w = &work{
 			stepper:  move.NewStepper(k.Target),
-			budget:   server.NewBudget(),
+			budget:   server.NewRetryBudget(),
 			measured: c.settings.Timer.Now(),
 		}
 		w.addHome(c.self.FailureDomain)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -29,7 +29,7 @@
 
 // step is what a backend server does with one attempt.
 type step struct {
-	answer *link.Answer
+	answer *link.Response
 	err    error
 	// hang waits for the end of the attempt's context.
 	hang bool
@@ -48,7 +48,7 @@
 	before func()
 }
 
-func (s *sender) Send(ctx context.Context, r link.Request) (*link.Answer, error) {
+func (s *sender) Send(ctx context.Context, r link.Request) (*link.Response, error) {
 	s.sent = append(s.sent, r)
 	if s.before != nil {
 		s.before()
@@ -66,7 +66,7 @@
 		return nil, lovageyard.MayHaveRun("hung", ctx.Err())
 	}
 	if s.observer != nil && next.answer != nil {
-		s.observer.Hear(lovageyard.BackendServer{Name: r.Server, Incarnation: r.Life}, next.answer.Meta.Backpressure, time.Now())
+		s.observer.Observe(lovageyard.BackendServer{Name: r.Server, Incarnation: r.Incarnation}, next.answer.Meta.Backpressure, time.Now())
 	}
 	return next.answer, next.err
 }
@@ -95,7 +95,7 @@
 	view    *catalog.View
 	// serving is the handler that all requests go to; if it is nil, each has one of its own.
 	serving http.Handler
-	watch   *quarantine.Watch
+	watch   *quarantine.Monitor
 	sender  *sender
 	log     *strings.Builder
 	// key is the object that requests name, or "".
@@ -119,11 +119,11 @@
 	returned int
 }
 
-func (l *limit) Admit(_ context.Context, a *lovageyard.Account) quota.Answer {
+func (l *limit) Admit(_ context.Context, a *lovageyard.Account) quota.Decision {
 	if l.refuses && a != nil {
-		return quota.Answer{Verdict: quota.Refused, RetryAfter: time.Second}
+		return quota.Decision{Verdict: quota.Refused, RetryAfter: time.Second}
 	}
-	return quota.Answer{Verdict: quota.Admitted}
+	return quota.Decision{Verdict: quota.Admitted}
 }
 
 func (l *limit) Return(*lovageyard.Account) { l.returned++ }
@@ -197,9 +197,9 @@
 	})
 	table.SetCatalog(y.view.Snapshot, time.Now())
 	if y.hears {
-		y.sender.observer = &entry.Notices{Dispatch: table, Timer: timer.Clock{}, Logger: logger}
+		y.sender.observer = &entry.NoticeObserver{Dispatch: table, Timer: timer.Clock{}, Logger: logger}
 	}
-	return entry.NewHandler(entry.Parts{
+	return entry.NewHandler(entry.Settings{
 		Source: y.source(), Limits: y.limits, Codec: platform.Headers{}, Sender: y.sender, Dispatch: table, Quarantine: y.quarantine(logger), Quota: &y.quota,
 		Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet(),
 	})
@@ -208,11 +208,11 @@
 // living answers that no server has ended.
 type living struct{}
 
-func (living) HasEnded(context.Context, lovageyard.BackendServer) bool { return false }
+func (living) RefusesConnections(context.Context, lovageyard.BackendServer) bool { return false }
 
 // quarantine returns what remembers servers that ended.
-func (y *yard) quarantine(logger *logrus.Logger) *quarantine.Watch {
-	w := quarantine.NewWatch(quarantine.Settings{Prober: living{}, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
+func (y *yard) quarantine(logger *logrus.Logger) *quarantine.Monitor {
+	w := quarantine.NewMonitor(quarantine.Settings{Prober: living{}, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
 	y.c.Cleanup(w.Close)
 	y.watch = w
 	return w
@@ -239,14 +239,14 @@
 }
 
 func good(status int) step {
-	return step{answer: &link.Answer{
+	return step{answer: &link.Response{
 		Status: status, Header: http.Header{"Proof": {"s"}, "Connection": {"close"}}, Body: []byte("whole"),
 		Meta: lovageyard.ResponseMeta{ID: "id-1", Sealed: true},
 	}}
 }
 
 func notRun(status int) step {
-	return step{answer: &link.Answer{
+	return step{answer: &link.Response{
 		Status: status, Header: http.Header{},
 		Meta: lovageyard.ResponseMeta{NotRun: true, Misdirected: status == http.StatusMisdirectedRequest},
 	}}
@@ -259,7 +259,7 @@
 }
 
 var (
-	unsealed = step{answer: &link.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("spoiled")}}
+	unsealed = step{answer: &link.Response{Status: http.StatusOK, Header: http.Header{}, Body: []byte("spoiled")}}
 	lost     = step{err: lovageyard.MayHaveRun("the connection ended", nil)}
 	unsent   = step{err: lovageyard.NotRun("not reached", nil)}
 )
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -48,10 +48,10 @@
 	logger    *logrus.Logger
 	timer     lovageyard.Timer
 	control   *control.Control
-	link      *link.Link
+	link      *link.Transport
 	platform  *platform.Store
 	peers     *peer.Client
-	charges   *charge.Book
+	charges   *charge.Store
 	callers   *http.Server
 	peering   *http.Server
 	operators *http.Server
@@ -133,7 +133,7 @@
 		options:  o,
 		logger:   logger,
 		timer:    clock,
-		link:     link.New(link.OwnHeaders{}, clock, nil),
+		link:     link.New(link.LoadHeaderCodec{}, clock, nil),
 		platform: platform.NewStore(o.PlatformAddress, logger),
 		peers:    peer.NewClient(),
 	}
@@ -158,8 +158,8 @@
 		LeaseSpan: o.LeaseSpan,
 		Seed:      uint64(self.Incarnation),
 	})
-	d.charges = charge.NewBook(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
-	handler := caller.NewHandler(caller.Parts{
+	d.charges = charge.NewStore(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
+	handler := caller.NewHandler(caller.Settings{
 		Source:   d.control,
 		Watcher:  d.control,
 		Charges:  d.charges,
@@ -182,7 +182,7 @@
 	for {
 		select {
 		case now := <-watch.C():
-			d.link.Expire(now)
+			d.link.CloseExpired(now)
 		case <-leave:
 			return
 		}
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -60,9 +60,9 @@
 	meters   *meter.Set
 	store    *platform.Store
 	peers    *peer.Client
-	link     *link.Link
+	link     *link.Transport
 	dispatch *dispatch.Table
-	watch    *quarantine.Watch
+	watch    *quarantine.Monitor
 	control  *fleet.Control
 	limiter  *quota.Limiter
 	callers  *http.Server
@@ -92,7 +92,7 @@
 			}
 			e.reload("signal")
 		case now := <-watch.C():
-			e.link.Expire(now)
+			e.link.CloseExpired(now)
 			e.measure(now)
 			if file.changed() {
 				e.reload("file changed")
@@ -152,13 +152,13 @@
 		Self:          o.Instance,
 		FailureDomain: o.FailureDomain,
 		Region:        o.Region,
-		Demand:        o.demand(),
+		DemandShare:   o.demand(),
 		Bounds:        o.bounds(),
 		Seed:          uint64(self.Incarnation),
 	})
-	notices := &entry.Notices{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
+	notices := &entry.NoticeObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
 	e.link = link.New(platform.Headers{}, e.timer, notices)
-	e.watch = quarantine.NewWatch(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
+	e.watch = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
 	e.control = fleet.New(fleet.Settings{
 		Self:       self,
 		Feed:       e.store,
@@ -229,7 +229,7 @@
 // serveAll begins to serve on all sockets.
 func (e *edge) serveAll(s *edgeSockets) {
 	o := e.options
-	e.callers = edgeServer(entry.NewHandler(entry.Parts{
+	e.callers = edgeServer(entry.NewHandler(entry.Settings{
 		Source:     e.control,
 		Codec:      platform.Headers{},
 		Sender:     e.link,
@@ -290,7 +290,7 @@
 		e.version = version
 		e.versionSince = now
 	}
-	census := e.dispatch.Census(now)
+	census := e.dispatch.Stats(now)
 	dropped := e.sink.Dropped()
 	e.meters.Update(meter.Connections, e.link.Opened())
 	e.meters.Update(meter.ServersKnown, int64(census.Servers))
@@ -302,11 +302,11 @@
 	e.meters.Update(meter.ConfigurationNow, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
 	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfigurationAge()))
-	e.meters.Update(meter.LimitsTight, int64(e.limiter.Tight()))
+	e.meters.Update(meter.LimitsTight, int64(e.limiter.MeteredCount()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
 	e.meters.Update(meter.LogDroppedOther, dropped.Other)
-	for service, share := range census.Elsewhere {
+	for service, share := range census.RemoteShares {
 		e.meters.Update(meter.ShareElsewhere, int64(1000*share), service)
 	}
 }
