--- a/entry/caller.go
+++ b/entry/caller.go
@@ -86,7 +86,7 @@
 	if x.caller.account == nil {
 		return true
 	}
-	return x.holdsKey() && isWithin(x.handler.Source.ConfigurationAge(), x.handler.Limits.Serve)
+	return x.holdsKey() && isWithin(x.handler.Source.ConfirmationAge(), x.handler.Limits.Serve)
 }
 
 // holdsKey says whether the key is the account's by the configuration that is in force now.
@@ -110,7 +110,7 @@
 
 // rejectUnknown ends a request that the configuration does not allow, unless a newer one may allow it.
 func (x *exchange) rejectUnknown(status int, reason string) {
-	if !x.view.Accounts.IsEmpty() && !isWithin(x.handler.Source.ConfigurationAge(), x.handler.Limits.Reject) {
+	if !x.view.Accounts.IsEmpty() && !isWithin(x.handler.Source.ConfirmationAge(), x.handler.Limits.Reject) {
 		x.refuse(causeStale, reason+", and may have been added since", retryStale, nil)
 		return
 	}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -80,7 +80,7 @@
 
 func (s source) View() *catalog.View { return s.view }
 
-func (s source) ConfigurationAge() time.Duration {
+func (s source) ConfirmationAge() time.Duration {
 	if s.age == nil {
 		return 0
 	}
@@ -131,8 +131,8 @@
 // View returns the present view.
 func (y *yard) View() *catalog.View { return y.view }
 
-// ConfigurationAge returns the age that the test has set.
-func (y *yard) ConfigurationAge() time.Duration { return source{age: y.age}.ConfigurationAge() }
+// ConfirmationAge returns the age that the test has set.
+func (y *yard) ConfirmationAge() time.Duration { return source{age: y.age}.ConfirmationAge() }
 
 // source returns what the handler takes its view from.
 func (y *yard) source() entry.Source {
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -27,8 +27,8 @@
 // Source gives the view in force.
 type Source interface {
 	View() *catalog.View
-	// ConfigurationAge returns how long ago the configuration in force was known to be the newest.
-	ConfigurationAge() time.Duration
+	// ConfirmationAge returns how long ago the configuration in force was known to be the newest.
+	ConfirmationAge() time.Duration
 }
 
 // Codec translates the headers of the wire.
--- a/entry/log.go
+++ b/entry/log.go
@@ -48,7 +48,7 @@
 		fields["cause"] = x.cause
 	}
 	if x.cause == causeStale {
-		fields["knowledge-age-ms"] = x.handler.Source.ConfigurationAge().Milliseconds()
+		fields["knowledge-age-ms"] = x.handler.Source.ConfirmationAge().Milliseconds()
 	}
 	if x.cause == causeHeld {
 		fields["fingerprint"] = quarantine.Format(x.fingerprint)
--- a/fleet/age.go
+++ b/fleet/age.go
@@ -14,8 +14,8 @@
 // unknownAge is the age of changes that nobody has told the age of, in milliseconds.
 const unknownAge = -1
 
-// hasNews says whether any of the rows is not known yet.
-func (c *Control) hasNews(rows []lovageyard.Row) bool {
+// hasNewRows says whether any of the rows is not known yet.
+func (c *Control) hasNewRows(rows []lovageyard.Row) bool {
 	for _, r := range rows {
 		if !c.state.HasRow(r) {
 			return true
@@ -24,17 +24,17 @@
 	return false
 }
 
-// noteAge notes that news of a table came that the first instance heard of some time ago.
-func (c *Control) noteAge(table string, age time.Duration, now time.Time) {
-	if at := now.Add(-age); at.After(c.heardAt[table]) {
-		c.heardAt[table] = at
+// recordChangeAge notes that news of a table came that the first instance heard of some time ago.
+func (c *Control) recordChangeAge(table string, age time.Duration, now time.Time) {
+	if at := now.Add(-age); at.After(c.firstReadAt[table]) {
+		c.firstReadAt[table] = at
 	}
 	c.settings.Metrics.Observe(meter.ChangeAge, age.Milliseconds(), table)
 }
 
-// ageOf returns the age of the newest change of a table in milliseconds, or unknownAge.
-func (c *Control) ageOf(table string, now time.Time) int64 {
-	at, found := c.heardAt[table]
+// changeAge returns the age of the newest change of a table in milliseconds, or unknownAge.
+func (c *Control) changeAge(table string, now time.Time) int64 {
+	at, found := c.firstReadAt[table]
 	if !found {
 		return unknownAge
 	}
--- a/fleet/confirm.go
+++ b/fleet/confirm.go
@@ -13,72 +13,72 @@
 // followers wait at them for word of each answer, with its age; a follower has two relays, and hears from
 // random peers each second.
 
-// confirmShare is how long a call for changes waits while the configuration has to be confirmed, in
+// confirmWaitPercent is how long a call for changes waits while the configuration has to be confirmed, in
 // hundredths of the age that its knowledge should stay well below: what a follower knows is older than at
 // its relay, by up to the time between two answers, and one answer of each may be lost.
-const confirmShare = 20
+const confirmWaitPercent = 20
 
 // confirmations are what was learnt of the age of the rows that this instance knows.
 type confirmations struct {
-	// reads counts the answers of the platform.
-	reads int
-	read  []freshness.Read
-	words []freshness.PeerReport
+	// readCount counts the answers of the platform.
+	readCount   int
+	reads       []freshness.Read
+	peerReports []freshness.PeerReport
 }
 
-// ConfigurationAge returns how long ago the configuration in force was known to be the newest.
-func (c *Control) ConfigurationAge() time.Duration {
+// ConfirmationAge returns how long ago the configuration in force was known to be the newest.
+func (c *Control) ConfirmationAge() time.Duration {
 	return c.freshness.Age(c.settings.Timer.Elapsed())
 }
 
-// mustConfirm says whether the age of the configuration matters.
-func (c *Control) mustConfirm() bool {
-	return c.settings.MaxConfigurationAge > 0 && !c.View().Accounts.IsEmpty()
+// needsConfirmation says whether the age of the configuration matters.
+func (c *Control) needsConfirmation() bool {
+	return c.settings.MaxConfirmationAge > 0 && !c.View().Accounts.IsEmpty()
 }
 
-// behindShare is the part of the bound on the age of knowledge from which on look-ups name other instances, so
+// behindFraction is the part of the bound on the age of knowledge from which on look-ups name other instances, so
 // that callers have left before requests are refused.
-const behindShare = 0.6
+const behindFraction = 0.6
 
 // isBehind says whether this instance may not know the newest configuration.
 func (c *Control) isBehind() bool {
-	return c.mustConfirm() && float64(c.ConfigurationAge()) > behindShare*float64(c.settings.MaxConfigurationAge)
+	return c.needsConfirmation() && float64(c.ConfirmationAge()) > behindFraction*float64(c.settings.MaxConfirmationAge)
 }
 
-// noteRead notes an answer of the platform, of which the rows were taken in.
-func (c *Control) noteRead(m heard) {
+// recordRead notes an answer of the platform, of which the rows were taken in.
+func (c *Control) recordRead(m readResult) {
 	if m.table != lovageyard.TableOrders {
 		return
 	}
-	c.confirmations.reads++
-	c.confirmations.read = append(c.confirmations.read, freshness.Read{
+	c.confirmations.readCount++
+	c.confirmations.reads = append(c.confirmations.reads, freshness.Read{
 		StartedAt: m.beganAt, FinishedAt: m.endedAt, PlatformTime: m.changes.PlatformTime,
 	})
 }
 
-// noteWord notes what a peer has told of its knowledge, if all that it knew was taken in.
-func (c *Control) noteWord(w *wire.Confirmation, askedAt time.Duration) {
+// recordConfirmation notes what a peer has told of its knowledge, if all that it knew was taken in.
+func (c *Control) recordConfirmation(w *wire.Confirmation, askedAt time.Duration) {
 	if w == nil || c.state.Cursor(lovageyard.TableOrders) < w.GetVersion() {
 		return
 	}
-	c.confirmations.words = append(c.confirmations.words, freshness.PeerReport{
+	c.confirmations.peerReports = append(c.confirmations.peerReports, freshness.PeerReport{
 		RequestedAt: askedAt,
 		ReplyDelay:  time.Duration(w.GetHeldMs()) * time.Millisecond,
 		Age:         time.Duration(w.GetAgeMs()) * time.Millisecond,
 	})
 }
 
-// confirm takes in what was noted, now that the rows are in force, and tells those who wait for it.
-func (c *Control) confirm() {
+// applyConfirmations takes in what was noted, now that the rows are in force, and tells those who wait for it.
+func (c *Control) applyConfirmations() {
 	pending := c.confirmations
-	c.confirmations.read, c.confirmations.words = nil, nil
-	for _, w := range pending.words {
+	c.confirmations.reads, c.confirmations.peerReports = nil, nil
+	for _, w := range pending.peerReports {
 		c.freshness.ObservePeer(w)
 	}
-	for _, r := range pending.read {
+	for _, r := range pending.reads {
 		c.freshness.ObserveRead(r)
 	}
-	if len(pending.read) > 0 {
+	if len(pending.reads) > 0 {
 		c.answerWaiters(c.settings.Timer.Now())
 	}
 }
--- a/fleet/confirm_test.go
+++ b/fleet/confirm_test.go
@@ -16,8 +16,8 @@
 	"lovageyard.example/lovageyard/platform/fake"
 )
 
-// confirmWithin is the bound on the age of knowledge in the tests.
-const confirmWithin = 5 * time.Second
+// maxConfirmationAge is the bound on the age of knowledge in the tests.
+const maxConfirmationAge = 5 * time.Second
 
 // putAccounts writes a configuration with a client account.
 func (g *group) putAccounts(version uint64) {
@@ -26,21 +26,21 @@
 
 // startConfirming starts an instance that keeps its knowledge young.
 func (g *group) startConfirming(name, address string, seeds ...string) *fleet.Control {
-	client := platform.NewStore(address, quiet())
+	client := platform.NewStore(address, discardLogger())
 	s := g.settings(name, 1, client, client, seeds...)
-	s.MaxConfigurationAge = confirmWithin
+	s.MaxConfirmationAge = maxConfirmationAge
 	return g.startWith(s)
 }
 
 // untilConfirmedSince waits until an instance's knowledge is younger than a moment.
 func (g *group) untilConfirmedSince(control *fleet.Control, since time.Time) {
 	g.c.Helper()
-	g.until("the configuration is confirmed", func() bool { return control.ConfigurationAge() < time.Since(since) })
+	g.until("the configuration is confirmed", func() bool { return control.ConfirmationAge() < time.Since(since) })
 }
 
 // The configuration is confirmed again and again, also at instances that hear of it from others only, while
 // only other tables change.
-func TestKnowledgeStaysYoung(t *testing.T) {
+func TestConfirmationAgeStaysLow(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
 	controls := []*fleet.Control{g.startConfirming("entry-0", g.address), g.startConfirming("entry-1", "127.0.0.1:1", "entry-0:2")}
@@ -57,7 +57,7 @@
 }
 
 // Without word of the platform the knowledge grows old, whatever peers say that have none either.
-func TestKnowledgeGrowsOldWithoutThePlatform(t *testing.T) {
+func TestConfirmationAgeGrowsDuringAnOutage(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
 	first := g.startConfirming("entry-0", g.address)
@@ -67,7 +67,7 @@
 	g.untilConfirmedSince(second, time.Now())
 	g.store.SetTrouble(fake.Trouble{Status: 503})
 	for _, control := range []*fleet.Control{first, second} {
-		g.until("old knowledge", func() bool { return control.ConfigurationAge() > time.Second })
+		g.until("old knowledge", func() bool { return control.ConfirmationAge() > time.Second })
 	}
 	g.store.SetTrouble(fake.Trouble{})
 	back := time.Now()
@@ -77,14 +77,14 @@
 }
 
 // An instance that can't confirm its configuration says so to its peers, and when it can again.
-func TestInstanceThatMayBeBehindSaysSo(t *testing.T) {
+func TestInstanceReportsThatItMayBeBehind(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
 	first := g.startConfirming("entry-0", g.address)
 	g.startWith(func() fleet.Settings {
-		client := platform.NewStore("127.0.0.1:1", quiet())
+		client := platform.NewStore("127.0.0.1:1", discardLogger())
 		s := g.settings("entry-1", 1, client, client, "entry-0:2")
-		s.MaxConfigurationAge = time.Nanosecond
+		s.MaxConfirmationAge = time.Nanosecond
 		return s
 	}())
 	defer g.stop("entry-0")
@@ -102,20 +102,20 @@
 }
 
 // An instance that starts from a peer's rows serves nobody by them until they are confirmed.
-func TestRowsOfAPeerAloneConfirmNothing(t *testing.T) {
+func TestRowsFromAPeerDoNotConfirmTheConfiguration(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
 	g.start("entry-0", 1, g.address)
 	defer g.stop("entry-0")
 	second := g.startWith(func() fleet.Settings {
-		client := platform.NewStore("127.0.0.1:1", quiet())
+		client := platform.NewStore("127.0.0.1:1", discardLogger())
 		s := g.settings("entry-1", 1, client, client, "entry-0:2")
 		s.Peers = unconfirmed{s.Peers}
 		return s
 	}())
 	defer g.stop("entry-1")
 	g.until("ready from peers", func() bool { return second.View().Ready })
-	g.c.Assert(second.ConfigurationAge(), qt.Equals, freshness.Unknown)
+	g.c.Assert(second.ConfirmationAge(), qt.Equals, freshness.Unknown)
 }
 
 // unconfirmed is a way to peers of an older version, which tell nothing of the age of their knowledge.
@@ -132,12 +132,12 @@
 }
 
 // Word of a configuration that could not be taken in confirms nothing.
-func TestWordOfRowsThatAreMissingConfirmsNothing(t *testing.T) {
+func TestConfirmationOfMissingRowsIsIgnored(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
 	g.start("entry-0", 1, g.address)
 	defer g.stop("entry-0")
-	client := platform.NewStore("127.0.0.1:1", quiet())
+	client := platform.NewStore("127.0.0.1:1", discardLogger())
 	s := g.settings("entry-1", 1, client, client, "entry-0:2")
 	answers := &atomic.Int64{}
 	s.Peers = withoutChanges{s.Peers, answers}
@@ -145,7 +145,7 @@
 	defer g.stop("entry-1")
 	// An answer is taken in before the next question is asked.
 	g.until("some answers confirm a configuration", func() bool { return answers.Load() > 4 })
-	g.c.Assert(second.ConfigurationAge(), qt.Equals, freshness.Unknown)
+	g.c.Assert(second.ConfirmationAge(), qt.Equals, freshness.Unknown)
 }
 
 // withoutChanges is a way to peers on which rows are lost.
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -24,18 +24,18 @@
 
 // Periods and limits of the control loop.
 const (
-	tickEvery = time.Second
-	// silence is how long a peer may not have spoken before look-ups stop naming it; operators
+	tickInterval = time.Second
+	// suspectTimeout is how long a peer may not have spoken before look-ups stop naming it; operators
 	// allow 6 s and more until a dead one is named no more.
-	silence   = 4 * time.Second
-	inboxSize = 256
-	// startEvery is the pause after which an instance that has just started asks a peer for
+	suspectTimeout = 4 * time.Second
+	inboxSize      = 256
+	// startCheckInterval is the pause after which an instance that has just started asks a peer for
 	// the rows that the platform has not given it: the platform answers in about 4 ms, and
 	// 60 times as slowly on a bad day. Until it has them, the instance refuses requests.
-	startEvery = 250 * time.Millisecond
-	// askEvery is the least pause between such questions: in a large fleet that starts at
+	startCheckInterval = 250 * time.Millisecond
+	// tableRequestInterval is the least pause between such questions: in a large fleet that starts at
 	// once the platform may be sending long tables to all, and peers would send them again.
-	askEvery = time.Second
+	tableRequestInterval = time.Second
 )
 
 // Peers reaches other entry instances.
@@ -70,9 +70,9 @@
 	// Seeds are addresses of peers to ask before any other is known.
 	Seeds []string
 	Seed  uint64
-	// MaxConfigurationAge is the age that the knowledge of the configuration should stay well below while there
+	// MaxConfirmationAge is the age that the knowledge of the configuration should stay well below while there
 	// are client accounts; 0 means that its age does not matter.
-	MaxConfigurationAge time.Duration
+	MaxConfirmationAge time.Duration
 }
 
 // Control runs the control loop of one entry instance.
@@ -80,15 +80,15 @@
 	settings Settings
 	inbox    *inbox.Inbox[*Control]
 	view     atomic.Pointer[catalog.View]
-	// direct says that this instance watches the platform itself.
-	direct atomic.Bool
-	// relaying says that others may rely on this instance to watch the platform, and ordersLost that the table of
+	// watchesPlatform says that this instance watches the platform itself.
+	watchesPlatform atomic.Bool
+	// isRelay says that others may rely on this instance to watch the platform, and ordersLost that the table of
 	// orders can't be read.
-	relaying   atomic.Bool
-	ordersLost atomic.Bool
-	// began is when this instance started.
-	began     time.Time
-	waits     waits
+	isRelay          atomic.Bool
+	ordersUnreadable atomic.Bool
+	// startedAt is when this instance started.
+	startedAt time.Time
+	watches   pendingWatches
 	freshness freshness.Tracker
 
 	// All below belongs to the loop's goroutine.
@@ -98,32 +98,32 @@
 	random  *rand.Rand
 	seeds   []string
 	leaving bool
-	// endsAt is when this instance ends, once it leaves.
-	endsAt  time.Time
-	closing bool
-	dirty   bool
-	// askedAt is when peers were last asked for whole tables.
-	askedAt time.Time
+	// shutdownAt is when this instance ends, once it leaves.
+	shutdownAt time.Time
+	refusing   bool
+	dirty      bool
+	// tablesRequestedAt is when peers were last asked for whole tables.
+	tablesRequestedAt time.Time
 	// relays holds the relays that this instance follows, by address.
-	relays map[string]*followed
+	relays map[string]*relayState
 	// waiters are peers' calls that wait for rows.
 	waiters []waiter
-	packer  peer.Encoder
-	// spokeIn is the life in which an instance last spoke here itself.
-	spokeIn map[string]int64
-	// heardAt is when the first instance heard of the newest change of each table.
-	heardAt map[string]time.Time
-	// whole holds the tables of which a peer's rows needed a base that is not known here.
-	whole map[string]bool
-	// failing notes since when a table can't be read.
-	failing map[string]time.Time
-	// untold says that there is news of crashes which could not be told yet; toldAt is when peers were
+	encoder peer.Encoder
+	// directIncarnations is the life in which an instance last spoke here itself.
+	directIncarnations map[string]int64
+	// firstReadAt is when the first instance heard of the newest change of each table.
+	firstReadAt map[string]time.Time
+	// needsFullValues holds the tables of which a peer's rows needed a base that is not known here.
+	needsFullValues map[string]bool
+	// failingSince notes since when a table can't be read.
+	failingSince map[string]time.Time
+	// crashReportPending says that there is news of crashes which could not be told yet; toldAt is when peers were
 	// told last, and comparedAt when what is known was compared with a peer's.
-	untold     bool
-	toldAt     time.Time
-	comparedAt time.Time
-	// unheard is when the row of an instance that has never spoken was first seen.
-	unheard map[string]time.Time
+	crashReportPending bool
+	crashesReportedAt  time.Time
+	digestSentAt       time.Time
+	// silentSince is when the row of an instance that has never spoken was first seen.
+	silentSince map[string]time.Time
 	// confirmations are to be taken in once the present rows are in force.
 	confirmations confirmations
 }
@@ -136,37 +136,37 @@
 	now := s.Timer.Now()
 	self := instance.Member{EntryInstance: s.Self}
 	c := &Control{
-		settings: s,
-		inbox:    inbox.New[*Control](inboxSize),
-		began:    now,
-		self:     self,
-		members:  instance.NewTable(self, now),
-		state:    catalog.NewState(s.Decoder),
-		random:   rand.New(rand.NewPCG(s.Seed, s.Seed)),
-		seeds:    s.Seeds,
-		relays:   make(map[string]*followed),
-		spokeIn:  make(map[string]int64),
-		heardAt:  make(map[string]time.Time),
-		whole:    make(map[string]bool),
-		failing:  make(map[string]time.Time),
-		unheard:  make(map[string]time.Time),
+		settings:           s,
+		inbox:              inbox.New[*Control](inboxSize),
+		startedAt:          now,
+		self:               self,
+		members:            instance.NewTable(self, now),
+		state:              catalog.NewState(s.Decoder),
+		random:             rand.New(rand.NewPCG(s.Seed, s.Seed)),
+		seeds:              s.Seeds,
+		relays:             make(map[string]*relayState),
+		directIncarnations: make(map[string]int64),
+		firstReadAt:        make(map[string]time.Time),
+		needsFullValues:    make(map[string]bool),
+		failingSince:       make(map[string]time.Time),
+		silentSince:        make(map[string]time.Time),
 	}
-	c.members.SetSuspectTimeout(silence)
-	c.direct.Store(true)
-	c.relaying.Store(true)
+	c.members.SetSuspectTimeout(suspectTimeout)
+	c.watchesPlatform.Store(true)
+	c.isRelay.Store(true)
 	c.publish()
 	return c
 }
 
 // Start sets the loop and the watches of the platform's tables going.
 func (c *Control) Start() {
-	ticks := c.settings.Timer.Subscribe(tickEvery)
+	ticks := c.settings.Timer.Subscribe(tickInterval)
 	c.inbox.Start(func() { c.run(ticks) })
 	for _, table := range lovageyard.FollowedTables() {
-		c.inbox.Go(func() { c.follow(table) })
+		c.inbox.Go(func() { c.followTable(table) })
 	}
 	c.inbox.Go(c.register)
-	c.inbox.Go(c.readHolds)
+	c.inbox.Go(c.readQuarantineRows)
 }
 
 // Close ends the loop and all calls, and waits for them.
@@ -181,7 +181,7 @@
 
 func (c *Control) run(ticks lovageyard.Ticker) {
 	defer ticks.Close()
-	starting := c.settings.Timer.Subscribe(startEvery)
+	starting := c.settings.Timer.Subscribe(startCheckInterval)
 	defer starting.Close()
 	c.tick(c.settings.Timer.Now())
 	for {
@@ -189,14 +189,14 @@
 		case now := <-ticks.C():
 			c.tick(now)
 		case now := <-starting.C():
-			if c.hasReadAll() {
+			if c.hasAllTables() {
 				starting.Close()
 			} else {
-				c.askForRows(now)
+				c.requestTables(now)
 			}
 		case <-c.settings.Quarantine.Updates():
-			c.tellCrashes()
-			c.keepHolds()
+			c.reportCrashes()
+			c.storeQuarantineRows()
 		case m := <-c.inbox.Messages():
 			m.Apply(c)
 		case <-c.inbox.Context().Done():
@@ -206,12 +206,12 @@
 			c.publish()
 			c.answerWaiters(c.settings.Timer.Now())
 		}
-		c.confirm()
+		c.applyConfirmations()
 	}
 }
 
 func (c *Control) tick(now time.Time) {
-	c.beat(now)
+	c.heartbeat(now)
 	if c.members.Tick(now) {
 		c.dirty = true
 	}
@@ -219,23 +219,23 @@
 		c.dirty = true
 	}
 	c.settings.Quarantine.Tick(now)
-	c.forgetGone()
-	c.shareWithSome()
+	c.forgetRemovedMembers()
+	c.gossip()
 	c.followRelays()
 	c.answerWaiters(now)
-	c.removeSilent(now)
+	c.removeStaleRows(now)
 }
 
-// forgetGone drops what is kept of instances that the table of members has forgotten.
-func (c *Control) forgetGone() {
-	maps.DeleteFunc(c.spokeIn, func(name string, _ int64) bool {
+// forgetRemovedMembers drops what is kept of instances that the table of members has forgotten.
+func (c *Control) forgetRemovedMembers() {
+	maps.DeleteFunc(c.directIncarnations, func(name string, _ int64) bool {
 		_, known := c.members.Find(name)
 		return !known
 	})
 }
 
-// beat tells anew that this instance is alive.
-func (c *Control) beat(now time.Time) {
+// heartbeat tells anew that this instance is alive.
+func (c *Control) heartbeat(now time.Time) {
 	c.self.Heartbeat++
 	if behind := c.isBehind(); behind != c.self.Stale {
 		c.self.Stale = behind
@@ -253,22 +253,22 @@
 		Live:       c.members.Live(),
 		Ready:      c.state.Ready(),
 		Leaving:    c.leaving,
-		ShutdownAt: c.endsAt,
-		Refusing:   c.closing,
+		ShutdownAt: c.shutdownAt,
+		Refusing:   c.refusing,
 	}
 	before := c.view.Swap(view)
 	if before != nil {
 		c.logChange(before, view)
 	}
-	c.settings.Observer.SetInstances(c.sharers(view), c.settings.Timer.Now())
+	c.settings.Observer.SetInstances(c.possibleInstances(view), c.settings.Timer.Now())
 	if before == nil || before.Snapshot != view.Snapshot {
 		c.settings.Observer.SetCatalog(view.Snapshot, c.settings.Timer.Now())
 	}
 }
 
-// sharers returns the names of all instances that may be at work, those included that
+// possibleInstances returns the names of all instances that may be at work, those included that
 // this one can't hear: an instance that is cut off must not take more than its share.
-func (c *Control) sharers(view *catalog.View) []string {
+func (c *Control) possibleInstances(view *catalog.View) []string {
 	found := map[string]bool{c.self.Name: true}
 	for _, m := range view.Live {
 		found[m.Name] = true
@@ -276,7 +276,7 @@
 	for name := range view.Instances {
 		found[name] = true
 	}
-	return keys(found)
+	return sortedKeys(found)
 }
 
 // logChange writes a line for each change of what this instance believes.
@@ -289,7 +289,7 @@
 		}).Info("configuration in force")
 	}
 	if len(before.Drained) != len(after.Drained) {
-		c.settings.Logger.WithField("failure-domains", keys(after.Drained)).Info("drained failure domains changed")
+		c.settings.Logger.WithField("failure-domains", sortedKeys(after.Drained)).Info("drained failure domains changed")
 	}
 	// Word of other regions comes late and by chance, and look-ups use it only if the own
 	// region has no live instance: their number is enough.
@@ -338,20 +338,20 @@
 // Leave takes this instance out of look-ups and tells its peers; it goes on serving what it can
 // answer before it ends.
 func (c *Control) Leave(endsAt time.Time) {
-	c.inbox.Post(leave{endsAt: endsAt})
+	c.inbox.Post(leave{shutdownAt: endsAt})
 }
 
 type leave struct {
-	endsAt time.Time
+	shutdownAt time.Time
 }
 
 func (m leave) Apply(c *Control) {
 	c.leaving = true
-	c.endsAt = m.endsAt
+	c.shutdownAt = m.shutdownAt
 	c.self.State = lovageyard.StateLeaving
-	c.beat(c.settings.Timer.Now())
+	c.heartbeat(c.settings.Timer.Now())
 	c.dirty = true
-	c.shareWithMany()
+	c.notifyPeers()
 }
 
 // RefuseRequests makes this instance refuse new requests.
@@ -362,7 +362,7 @@
 type refuse struct{}
 
 func (refuse) Apply(c *Control) {
-	c.closing = true
+	c.refusing = true
 	c.dirty = true
 }
 
@@ -392,7 +392,7 @@
 	for attempt := 0; c.inbox.Context().Err() == nil; attempt++ {
 		view := c.View()
 		if view.Cursors[lovageyard.TableInstances] == 0 {
-			c.pause(turnEvery)
+			c.sleep(relayCheckInterval)
 			continue
 		}
 		if view.Instances[self.Name] == self {
@@ -407,12 +407,12 @@
 		if attempt == 0 {
 			c.settings.Logger.WithError(err).Warn("this instance is not registered yet")
 		}
-		c.pause(registerEvery)
+		c.sleep(registerRetryInterval)
 	}
 }
 
-// pause waits for a span, or less if the loop ends.
-func (c *Control) pause(d time.Duration) {
+// sleep waits for a span, or less if the loop ends.
+func (c *Control) sleep(d time.Duration) {
 	after := c.settings.Timer.After(d)
 	defer after.Close()
 	select {
@@ -426,7 +426,7 @@
 	return errors.As(err, &conflict)
 }
 
-// keys returns the members of a set in order.
-func keys(set map[string]bool) []string {
+// sortedKeys returns the members of a set in order.
+func sortedKeys(set map[string]bool) []string {
 	return slices.Sorted(maps.Keys(set))
 }
--- a/fleet/crash.go
+++ b/fleet/crash.go
@@ -16,14 +16,14 @@
 // within a second.
 
 const (
-	// tellFanOut is how many random peers are told at once: 1,400 instances know after six steps.
-	tellFanOut = 4
-	// tellEvery is the pause between two times that peers are told, in which further news gathers.
-	tellEvery = 100 * time.Millisecond
-	// compareEvery is how often what is known is compared while news comes; at other times each
+	// crashFanOut is how many random peers are told at once: 1,400 instances know after six steps.
+	crashFanOut = 4
+	// crashReportInterval is the pause between two times that peers are told, in which further news gathers.
+	crashReportInterval = 100 * time.Millisecond
+	// digestInterval is how often what is known is compared while news comes; at other times each
 	// second. All that is known crosses if it differs, as it does while news is on its way.
-	compareEvery = 3 * time.Second
-	quietFor     = time.Second
+	digestInterval = 3 * time.Second
+	quietPeriod    = time.Second
 )
 
 // Quarantine remembers which requests were at servers that ended.
@@ -47,66 +47,66 @@
 	ReportFor(request uint64) quarantine.Report
 }
 
-// tellCrashes tells a few random peers what is new since the last time. News that comes soon after that
+// reportCrashes tells a few random peers what is new since the last time. News that comes soon after that
 // is told together: each request that fell with a server is news of its own.
-func (c *Control) tellCrashes() {
-	if c.inbox.IsCalling(tellPause) {
-		c.untold = true
+func (c *Control) reportCrashes() {
+	if c.inbox.IsCalling(crashReportPause) {
+		c.crashReportPending = true
 		return
 	}
-	c.untold = false
+	c.crashReportPending = false
 	now := c.settings.Timer.Now()
-	report := c.settings.Quarantine.ReportSince(c.toldAt)
-	c.toldAt = now
+	report := c.settings.Quarantine.ReportSince(c.crashesReportedAt)
+	c.crashesReportedAt = now
 	if report.IsEmpty() {
 		return
 	}
 	partners := c.partners()
-	for _, p := range partners[:min(tellFanOut, len(partners))] {
+	for _, p := range partners[:min(crashFanOut, len(partners))] {
 		request := c.newRequest()
 		request.Crashes, request.Clearances = toCrashes(report)
 		c.exchange("tell "+p.address, p.address, request)
 	}
-	c.inbox.Call(tellPause, func(context.Context) message {
-		c.pause(tellEvery)
-		return tellAgain{}
+	c.inbox.Call(crashReportPause, func(context.Context) message {
+		c.sleep(crashReportInterval)
+		return crashReportDue{}
 	})
 }
 
-// tellPause is the name of the pause between two times that peers are told.
-const tellPause = "tell"
+// crashReportPause is the name of the pause between two times that peers are told.
+const crashReportPause = "tell"
 
-// tellAgain is the end of that pause.
-type tellAgain struct{}
+// crashReportDue is the end of that pause.
+type crashReportDue struct{}
 
-func (tellAgain) Apply(c *Control) {
-	if c.untold {
-		c.tellCrashes()
+func (crashReportDue) Apply(c *Control) {
+	if c.crashReportPending {
+		c.reportCrashes()
 	}
 }
 
 // addDigest asks a peer for all that it knows of crashes if that differs.
 func (c *Control) addDigest(r *wire.ShareRequest) {
 	now := c.settings.Timer.Now()
-	if now.Sub(c.toldAt) < quietFor && now.Sub(c.comparedAt) < compareEvery {
+	if now.Sub(c.crashesReportedAt) < quietPeriod && now.Sub(c.digestSentAt) < digestInterval {
 		return
 	}
-	c.comparedAt = now
+	c.digestSentAt = now
 	r.CrashDigest = proto.Uint64(c.settings.Quarantine.Digest())
 }
 
-// hearCrashes takes in what a peer tells of crashes, and passes on what is new.
-func (c *Control) hearCrashes(crashes []*wire.Crash, clearances []*wire.Clearance) {
+// applyCrashes takes in what a peer tells of crashes, and passes on what is new.
+func (c *Control) applyCrashes(crashes []*wire.Crash, clearances []*wire.Clearance) {
 	if len(crashes)+len(clearances) == 0 {
 		return
 	}
 	if c.settings.Quarantine.Merge(fromCrashes(crashes, clearances)) {
-		c.tellCrashes()
+		c.reportCrashes()
 	}
 }
 
-// answerCrashes adds to an answer what its asker may lack.
-func (c *Control) answerCrashes(r *wire.ShareRequest, reply *wire.ShareReply) {
+// addCrashes adds to an answer what its asker may lack.
+func (c *Control) addCrashes(r *wire.ShareRequest, reply *wire.ShareReply) {
 	if r.CrashDigest != nil && r.GetCrashDigest() != c.settings.Quarantine.Digest() {
 		reply.Crashes, reply.Clearances = toCrashes(c.settings.Quarantine.Report())
 	}
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -17,8 +17,8 @@
 	"lovageyard.example/lovageyard/quarantine"
 )
 
-// lose lets an instance see a server end under a request.
-func lose(w *quarantine.Monitor, server string, request uint64) {
+// crashServer lets an instance see a server end under a request.
+func crashServer(w *quarantine.Monitor, server string, request uint64) {
 	s := lovageyard.BackendServer{Name: server, Service: "desk"}
 	w.RecordLoss(s, request, time.Now())
 	w.RecordCrash(s)
@@ -26,14 +26,14 @@
 
 // Each of three instances sees one server end under a request. All of a fleet learn that it is held, one
 // that starts later too, and that another one was answered well.
-func TestAllInstancesHearOfARequestThatEndsServers(t *testing.T) {
+func TestCrashReportsReachAllInstances(t *testing.T) {
 	const count, deadly, popular = 14, 1, 2
 	g := newGroup(t)
-	client := platform.NewStore(g.address, quiet())
+	client := platform.NewStore(g.address, discardLogger())
 	var watches []*quarantine.Monitor
 	start := func(n int) {
 		s := g.settings(fmt.Sprint("entry-", n), 1, client, client)
-		w := quarantine.NewMonitor(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
+		w := quarantine.NewMonitor(quarantine.Settings{Prober: neverExited{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
 		s.Quarantine = w
 		control := g.startWith(s)
 		g.c.Cleanup(func() {
@@ -55,10 +55,10 @@
 		w := watches[4*n]
 		// It is sent on only once the server before has ended.
 		g.until("word of the end before", func() bool { return n == 0 || w.Evaluate(deadly).Suspect })
-		lose(w, fmt.Sprint("server-", n), deadly)
+		crashServer(w, fmt.Sprint("server-", n), deadly)
 	}
 	for n := range 2 {
-		lose(watches[5*n], fmt.Sprint("other-", n), popular)
+		crashServer(watches[5*n], fmt.Sprint("other-", n), popular)
 	}
 	untilAll("the deadly request is held", func(w *quarantine.Monitor) bool { return w.Evaluate(deadly).Quarantined })
 	untilAll("the popular request is suspect", func(w *quarantine.Monitor) bool { return w.Evaluate(popular).Suspect })
@@ -72,18 +72,18 @@
 	g.until("all know the same", func() bool { return watches[0].Digest() == watches[count].Digest() })
 }
 
-// silent finds out nothing of servers.
-type silent struct{}
+// neverExited finds out nothing of servers.
+type neverExited struct{}
 
-func (silent) RefusesConnections(context.Context, lovageyard.BackendServer) bool { return false }
+func (neverExited) RefusesConnections(context.Context, lovageyard.BackendServer) bool { return false }
 
-// counting counts the bytes of what instances tell each other of ends.
-type counting struct {
+// countingPeers counts the bytes of what instances tell each other of ends.
+type countingPeers struct {
 	fleet.Peers
 	bytes *atomic.Int64
 }
 
-func (p counting) Share(ctx context.Context, address string, r *wire.ShareRequest) (*wire.ShareReply, error) {
+func (p countingPeers) Share(ctx context.Context, address string, r *wire.ShareRequest) (*wire.ShareReply, error) {
 	reply, err := p.Peers.Share(ctx, address, r)
 	p.bytes.Add(int64(proto.Size(&wire.ShareRequest{Crashes: r.GetCrashes(), Clearances: r.GetClearances()})))
 	p.bytes.Add(int64(proto.Size(&wire.ShareReply{Crashes: reply.GetCrashes(), Clearances: reply.GetClearances()})))
@@ -94,16 +94,16 @@
 // instance is to spend 5 KB a second on control: word of one end, of 0.5 KB, may take no more than that.
 // It took 30 KB a second on a day on which 29 servers ended, as all news of three seconds was sent with
 // each exchange, and again for each request that fell.
-func TestWordOfAnEndTakesLittle(t *testing.T) {
+func TestCrashReportsUseLittleBandwidth(t *testing.T) {
 	const count, ends, requests, most = 8, 6, 36, 5 << 10
 	g := newGroup(t)
-	client := platform.NewStore(g.address, quiet())
+	client := platform.NewStore(g.address, discardLogger())
 	var bytes atomic.Int64
 	var watches []*quarantine.Monitor
 	for n := range count {
 		s := g.settings(fmt.Sprint("entry-", n), 1, client, client)
-		s.Peers = counting{s.Peers, &bytes}
-		w := quarantine.NewMonitor(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
+		s.Peers = countingPeers{s.Peers, &bytes}
+		w := quarantine.NewMonitor(quarantine.Settings{Prober: neverExited{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
 		s.Quarantine = w
 		control := g.startWith(s)
 		g.c.Cleanup(func() {
@@ -115,7 +115,7 @@
 	}
 	for end := range ends {
 		for r := range requests {
-			lose(watches[r%count], fmt.Sprint("server-", end), uint64(1000*end+r+1))
+			crashServer(watches[r%count], fmt.Sprint("server-", end), uint64(1000*end+r+1))
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
--- a/fleet/feed.go
+++ b/fleet/feed.go
@@ -14,51 +14,51 @@
 
 // Periods of the calls to the platform.
 const (
-	// watchFor is how long a call waits for changes of orders and servers. A platform that falls silent
+	// watchWait is how long a call waits for changes of orders and servers. A platform that falls silent
 	// for a moment may never answer the calls that waited then, which are given up storeTimeout later;
 	// both together are within the time that operators allow after an outage.
-	watchFor = 2500 * time.Millisecond
-	// watchInstancesFor is the same for the table of instances, which only introduces them; the call is
+	watchWait = 2500 * time.Millisecond
+	// watchInstancesWait is the same for the table of instances, which only introduces them; the call is
 	// given up with those of the other tables.
-	watchInstancesFor = 20 * time.Second
-	// coalesce is the pause between two calls of one table, in which further changes gather;
+	watchInstancesWait = 20 * time.Second
+	// coalesceInterval is the pause between two calls of one table, in which further changes gather;
 	// it is well inside the bounds on leaving servers and on configurations, of 2 s and more.
-	coalesce = 200 * time.Millisecond
-	// coalesceInstances is the same for the table of instances, which only introduces them.
-	coalesceInstances = 3 * time.Second
-	// coalesceStart is the same for all tables in the first startFor of an instance, when
+	coalesceInterval = 200 * time.Millisecond
+	// coalesceIntervalInstances is the same for the table of instances, which only introduces them.
+	coalesceIntervalInstances = 3 * time.Second
+	// coalesceIntervalAtStart is the same for all tables in the first startFor of an instance, when
 	// all servers may be registering and it is not known yet who relays.
-	coalesceStart = 2500 * time.Millisecond
-	startFor      = 4 * time.Second
-	// turnEvery is how often an instance that follows relays looks whether it still does.
-	turnEvery = 200 * time.Millisecond
+	coalesceIntervalAtStart = 2500 * time.Millisecond
+	startPeriod             = 4 * time.Second
+	// relayCheckInterval is how often an instance that follows relays looks whether it still does.
+	relayCheckInterval = 200 * time.Millisecond
 	// Pauses after calls that failed; they double from the first to the last. Instances that do not relay
 	// make fewer: they hear of the platform's return from their relays.
-	firstPause      = 200 * time.Millisecond
-	lastPause       = 800 * time.Millisecond
-	lastPauseOthers = 3200 * time.Millisecond
-	// registerEvery is the pause between attempts to write this instance's row.
-	registerEvery = time.Second
-	// forgetAfter is the silence after which another instance's row is removed.
-	forgetAfter = 20 * time.Second
+	minBackoff         = 200 * time.Millisecond
+	maxBackoff         = 800 * time.Millisecond
+	maxBackoffNonRelay = 3200 * time.Millisecond
+	// registerRetryInterval is the pause between attempts to write this instance's row.
+	registerRetryInterval = time.Second
+	// rowRemovalTimeout is the silence after which another instance's row is removed.
+	rowRemovalTimeout = 20 * time.Second
 )
 
-// follow keeps one table up to date until the loop ends.
-func (c *Control) follow(table string) {
+// followTable keeps one table up to date until the loop ends.
+func (c *Control) followTable(table string) {
 	cursor := int64(0)
-	pause := firstPause
-	wait := c.waitOf(table)
-	for c.awaitTurn() {
-		if cursor > 0 && c.isHeldBack(table) {
-			c.pause(turnEvery)
+	pause := minBackoff
+	wait := c.watchWaitOf(table)
+	for c.awaitWatching() {
+		if cursor > 0 && c.isSuppressed(table) {
+			c.sleep(relayCheckInterval)
 			continue
 		}
 		if cursor > 0 {
 			// Relays may have told of changes since.
 			cursor = max(cursor, c.View().Cursors[table])
 		}
-		news := c.read(table, cursor, wait)
-		if errors.Is(news.err, errGivenUp) {
+		news := c.readTable(table, cursor, wait)
+		if errors.Is(news.err, errWatchCancelled) {
 			wait = 0
 			continue
 		}
@@ -72,90 +72,90 @@
 			return
 		}
 		if news.err == nil {
-			pause = firstPause
-			wait = c.waitOf(table)
-			c.pause(c.pauseOf(table))
+			pause = minBackoff
+			wait = c.watchWaitOf(table)
+			c.sleep(c.coalesceIntervalOf(table))
 			continue
 		}
 		// Short calls find the end of an outage soon.
 		wait = 0
 		if errors.Is(news.err, lovageyard.ErrHistoryLost) {
 			cursor = 0
-			c.pause(coalesce)
+			c.sleep(coalesceInterval)
 			continue
 		}
-		c.pause(pause)
-		pause = min(2*pause, c.longestPause())
+		c.sleep(pause)
+		pause = min(2*pause, c.backoffLimit())
 	}
 }
 
-// isHeldBack says whether a table is not asked for while another one can't be read: one call shows as well as
+// isSuppressed says whether a table is not asked for while another one can't be read: one call shows as well as
 // three whether the platform answers again. Relays ask for each, as others rely on them.
-func (c *Control) isHeldBack(table string) bool {
-	return table != lovageyard.TableOrders && c.ordersLost.Load() && !c.relaying.Load()
+func (c *Control) isSuppressed(table string) bool {
+	return table != lovageyard.TableOrders && c.ordersUnreadable.Load() && !c.isRelay.Load()
 }
 
-// longestPause returns the longest pause after calls that failed.
-func (c *Control) longestPause() time.Duration {
-	if c.relaying.Load() {
-		return lastPause
+// backoffLimit returns the longest pause after calls that failed.
+func (c *Control) backoffLimit() time.Duration {
+	if c.isRelay.Load() {
+		return maxBackoff
 	}
-	return lastPauseOthers
+	return maxBackoffNonRelay
 }
 
-// waitOf returns how long a call waits for changes of a table.
-func (c *Control) waitOf(table string) time.Duration {
+// watchWaitOf returns how long a call waits for changes of a table.
+func (c *Control) watchWaitOf(table string) time.Duration {
 	switch {
 	case table == lovageyard.TableInstances:
-		return watchInstancesFor
-	case table == lovageyard.TableOrders && c.mustConfirm():
-		return min(watchFor, confirmShare*c.settings.MaxConfigurationAge/100)
+		return watchInstancesWait
+	case table == lovageyard.TableOrders && c.needsConfirmation():
+		return min(watchWait, confirmWaitPercent*c.settings.MaxConfirmationAge/100)
 	}
-	return watchFor
+	return watchWait
 }
 
-// errGivenUp reports a call that waited for changes and was given up as another call failed.
-var errGivenUp = errors.New("given up, as another call to the platform failed")
+// errWatchCancelled reports a call that waited for changes and was given up as another call failed.
+var errWatchCancelled = errors.New("given up, as another call to the platform failed")
 
-// pauseOf returns the pause between two calls of a table.
-func (c *Control) pauseOf(table string) time.Duration {
+// coalesceIntervalOf returns the pause between two calls of a table.
+func (c *Control) coalesceIntervalOf(table string) time.Duration {
 	switch {
-	case c.settings.Timer.Now().Sub(c.began) < startFor:
-		return coalesceStart
+	case c.settings.Timer.Now().Sub(c.startedAt) < startPeriod:
+		return coalesceIntervalAtStart
 	case table == lovageyard.TableInstances:
-		return coalesceInstances
+		return coalesceIntervalInstances
 	}
-	return coalesce
+	return coalesceInterval
 }
 
-// read makes one call: the whole table if nothing is known, else its changes.
-func (c *Control) read(table string, cursor int64, wait time.Duration) heard {
-	m := heard{table: table, whole: cursor == 0, beganAt: c.settings.Timer.Elapsed()}
+// readTable makes one call: the whole table if nothing is known, else its changes.
+func (c *Control) readTable(table string, cursor int64, wait time.Duration) readResult {
+	m := readResult{table: table, whole: cursor == 0, beganAt: c.settings.Timer.Elapsed()}
 	if m.whole {
 		m.changes, m.err = c.settings.Feed.Rows(c.inbox.Context(), table)
 	} else {
-		m.changes, m.err = c.watch(table, cursor, wait)
+		m.changes, m.err = c.watchTable(table, cursor, wait)
 	}
 	m.endedAt = c.settings.Timer.Elapsed()
 	return m
 }
 
-// watch asks for the changes of a table. Only calls that wait are given up with others.
-func (c *Control) watch(table string, cursor int64, wait time.Duration) (lovageyard.Changes, error) {
+// watchTable asks for the changes of a table. Only calls that wait are given up with others.
+func (c *Control) watchTable(table string, cursor int64, wait time.Duration) (lovageyard.Changes, error) {
 	if wait == 0 {
 		return c.settings.Feed.Watch(c.inbox.Context(), table, cursor, wait)
 	}
-	ctx, end := c.waits.begin(c.inbox.Context(), table)
+	ctx, end := c.watches.add(c.inbox.Context(), table)
 	defer end()
 	changes, err := c.settings.Feed.Watch(ctx, table, cursor, wait)
 	if err != nil && ctx.Err() != nil && c.inbox.Context().Err() == nil {
-		return changes, errGivenUp
+		return changes, errWatchCancelled
 	}
 	return changes, err
 }
 
-// heard is the end of a call to the platform.
-type heard struct {
+// readResult is the end of a call to the platform.
+type readResult struct {
 	table   string
 	changes lovageyard.Changes
 	whole   bool
@@ -167,16 +167,16 @@
 	applied chan int64
 }
 
-func (m heard) Apply(c *Control) {
+func (m readResult) Apply(c *Control) {
 	now := c.settings.Timer.Now()
 	c.settings.Metrics.Count(meter.PlatformReads, m.table)
 	if m.err != nil {
-		c.feedFailed(m, now)
+		c.recordFeedFailure(m, now)
 		m.applied <- c.state.Cursor(m.table)
 		return
 	}
-	if !m.whole && c.hasNews(m.changes.Rows) {
-		c.noteAge(m.table, 0, now)
+	if !m.whole && c.hasNewRows(m.changes.Rows) {
+		c.recordChangeAge(m.table, 0, now)
 	}
 	var faults []catalog.InvalidRow
 	if m.whole {
@@ -184,23 +184,23 @@
 	} else {
 		_, faults = c.state.ApplyChanges(m.table, m.changes, now)
 	}
-	c.logFaults(faults)
-	c.feedWorks(m.table, now)
-	c.noteRead(m)
+	c.logInvalidRows(faults)
+	c.recordFeedSuccess(m.table, now)
+	c.recordRead(m)
 	if m.whole || len(m.changes.Rows) > 0 {
 		c.dirty = true
 	}
 	m.applied <- c.state.Cursor(m.table)
 }
 
-// feedWorks notes that a table was read.
-func (c *Control) feedWorks(table string, now time.Time) {
-	since, found := c.failing[table]
+// recordFeedSuccess notes that a table was read.
+func (c *Control) recordFeedSuccess(table string, now time.Time) {
+	since, found := c.failingSince[table]
 	if !found {
 		return
 	}
-	delete(c.failing, table)
-	c.ordersLost.Store(c.isLost(lovageyard.TableOrders))
+	delete(c.failingSince, table)
+	c.ordersUnreadable.Store(c.isUnreadable(lovageyard.TableOrders))
 	c.state.MarkReadable(table)
 	c.settings.Logger.WithFields(logrus.Fields{
 		"table":     table,
@@ -208,30 +208,30 @@
 	}).Info("platform regained")
 }
 
-func (c *Control) feedFailed(m heard, now time.Time) {
+func (c *Control) recordFeedFailure(m readResult, now time.Time) {
 	if errors.Is(m.err, lovageyard.ErrHistoryLost) {
 		return
 	}
 	c.settings.Metrics.Count(meter.PlatformFailures, m.table, causeOf(m.err))
 	c.state.MarkUnreadable(m.table)
-	c.waits.giveUp()
+	c.watches.cancelAll()
 	defer c.answerWaiters(now)
-	if _, found := c.failing[m.table]; found {
+	if _, found := c.failingSince[m.table]; found {
 		return
 	}
-	c.failing[m.table] = now
-	c.ordersLost.Store(c.isLost(lovageyard.TableOrders))
+	c.failingSince[m.table] = now
+	c.ordersUnreadable.Store(c.isUnreadable(lovageyard.TableOrders))
 	c.settings.Logger.WithError(m.err).WithField("table", m.table).Warn("platform lost")
 }
 
-// isLost says whether a table can't be read at present.
-func (c *Control) isLost(table string) bool {
-	_, failing := c.failing[table]
+// isUnreadable says whether a table can't be read at present.
+func (c *Control) isUnreadable(table string) bool {
+	_, failing := c.failingSince[table]
 	return failing
 }
 
-// logFaults tells of rows that are passed over; each version of a row is told once.
-func (c *Control) logFaults(faults []catalog.InvalidRow) {
+// logInvalidRows tells of rows that are passed over; each version of a row is told once.
+func (c *Control) logInvalidRows(faults []catalog.InvalidRow) {
 	for _, f := range faults {
 		field := "row"
 		var wrong *lovageyard.FieldError
@@ -249,11 +249,11 @@
 	}
 }
 
-// removeSilent removes the rows of instances that have long been silent; the first of the
+// removeStaleRows removes the rows of instances that have long been silent; the first of the
 // live instances does it for all.
-func (c *Control) removeSilent(now time.Time) {
+func (c *Control) removeStaleRows(now time.Time) {
 	live := c.members.Live()
-	if len(live) == 0 || live[0].Name != c.self.Name || len(c.failing) > 0 {
+	if len(live) == 0 || live[0].Name != c.self.Name || len(c.failingSince) > 0 {
 		return
 	}
 	alive := make(map[string]bool)
@@ -262,15 +262,15 @@
 	}
 	for _, r := range c.state.ChangesSince(lovageyard.TableInstances, 0).Rows {
 		if r.Deleted || alive[r.Key] {
-			delete(c.unheard, r.Key)
+			delete(c.silentSince, r.Key)
 			continue
 		}
-		first, found := c.unheard[r.Key]
+		first, found := c.silentSince[r.Key]
 		if !found {
-			c.unheard[r.Key] = now
+			c.silentSince[r.Key] = now
 			continue
 		}
-		if now.Sub(first) >= forgetAfter {
+		if now.Sub(first) >= rowRemovalTimeout {
 			c.removeRow(r)
 		}
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -27,8 +27,8 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// waitFor bounds each wait; a wait ends as soon as its condition holds.
-const waitFor = 60 * time.Second
+// waitTimeout bounds each wait; a wait ends as soon as its condition holds.
+const waitTimeout = 60 * time.Second
 
 // network carries exchanges between instances in one process, and can cut some off.
 type network struct {
@@ -54,11 +54,11 @@
 	return target.Share(ctx, r)
 }
 
-// follower ignores views.
-type follower struct{}
+// ignoringObserver ignores views.
+type ignoringObserver struct{}
 
-func (follower) SetCatalog(*catalog.Snapshot, time.Time) {}
-func (follower) SetInstances([]string, time.Time)        {}
+func (ignoringObserver) SetCatalog(*catalog.Snapshot, time.Time) {}
+func (ignoringObserver) SetInstances([]string, time.Time)        {}
 
 // group is a fleet of one failure domain on one stand-in store.
 type group struct {
@@ -107,11 +107,11 @@
 
 // start starts an instance; address is the store's, or one that nobody listens at.
 func (g *group) start(name string, life int64, address string, seeds ...string) *fleet.Control {
-	client := platform.NewStore(address, quiet())
+	client := platform.NewStore(address, discardLogger())
 	return g.startOn(name, life, client, client, seeds...)
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
@@ -130,13 +130,13 @@
 			CallerAddress: name + ":1", PeerAddress: name + ":2", State: lovageyard.StateLive,
 		},
 		Feed: feed, Registrar: registrar, Decoder: platform.Decoder{}, Peers: peers{network: g.network, self: name + ":2"},
-		Observer: follower{}, Quarantine: g.quarantine(), Timer: timer.Clock{}, Logger: quiet(), Metrics: meter.NewSet(), Seeds: seeds, Seed: uint64(life),
+		Observer: ignoringObserver{}, Quarantine: g.quarantine(), Timer: timer.Clock{}, Logger: discardLogger(), Metrics: meter.NewSet(), Seeds: seeds, Seed: uint64(life),
 	}
 }
 
 // quarantine returns what remembers servers that ended, for one instance.
 func (g *group) quarantine() *quarantine.Monitor {
-	w := quarantine.NewMonitor(quarantine.Settings{Timer: timer.Clock{}, Logger: quiet(), Metrics: meter.NewSet()})
+	w := quarantine.NewMonitor(quarantine.Settings{Timer: timer.Clock{}, Logger: discardLogger(), Metrics: meter.NewSet()})
 	g.c.Cleanup(w.Close)
 	return w
 }
@@ -160,7 +160,7 @@
 
 func (g *group) until(what string, condition func() bool) {
 	g.c.Helper()
-	for end := time.Now().Add(waitFor); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if condition() {
 			return
 		}
@@ -196,7 +196,7 @@
 }
 
 // Two of many watch the platform for the rest, also after one of them has gone.
-func TestRelaysWatchThePlatformForTheRest(t *testing.T) {
+func TestRelaysWatchThePlatformForOthers(t *testing.T) {
 	testRelays(newGroup(t), 4)
 }
 
@@ -261,14 +261,14 @@
 	g := newGroup(t)
 	g.start("entry-0", 1, g.address)
 	defer g.stop("entry-0")
-	client := platform.NewStore("127.0.0.1:1", quiet())
+	client := platform.NewStore("127.0.0.1:1", discardLogger())
 	restarted := g.startOn("entry-1", 1, silentFeed{}, client, "entry-0:2")
 	defer g.stop("entry-1")
 	g.until("ready from peers", func() bool { return restarted.View().Ready && version(restarted) == 1 })
 }
 
 // The time of day may step back between two lives of an instance.
-func TestInstanceThatRestartsWithAnOlderClockIsHeard(t *testing.T) {
+func TestInstanceThatRestartsWithAnOlderClockIsLive(t *testing.T) {
 	g := newGroup(t)
 	other := g.start("entry-0", 1, g.address)
 	defer g.stop("entry-0")
@@ -282,7 +282,7 @@
 	g.until("both live again", func() bool { return len(other.View().Live) == 2 })
 }
 
-func TestLostHistoryIsReadAnew(t *testing.T) {
+func TestLostHistoryIsReadAgain(t *testing.T) {
 	g := newGroup(t)
 	control := g.start("entry-0", 1, g.address)
 	defer g.stop("entry-0")
@@ -297,7 +297,7 @@
 }
 
 // What another program writes into the servers' table stops nothing, here or at peers.
-func TestEntryOfAnotherWriterLeavesTheOthersInUse(t *testing.T) {
+func TestInvalidEntryDoesNotAffectOtherServers(t *testing.T) {
 	g := newGroup(t)
 	first := g.start("entry-0", 1, g.address)
 	defer g.stop("entry-0")
@@ -339,8 +339,8 @@
 // The age of a change is told by the instance that hears of it from another one, too.
 func TestAgeOfChangesIsMeasured(t *testing.T) {
 	g := newGroup(t)
-	first := g.settings("entry-0", 1, platform.NewStore(g.address, quiet()), platform.NewStore(g.address, quiet()))
-	unreachable := platform.NewStore("127.0.0.1:1", quiet())
+	first := g.settings("entry-0", 1, platform.NewStore(g.address, discardLogger()), platform.NewStore(g.address, discardLogger()))
+	unreachable := platform.NewStore("127.0.0.1:1", discardLogger())
 	second := g.settings("entry-1", 1, unreachable, unreachable, "entry-0:2")
 	for _, s := range []fleet.Settings{first, second} {
 		control := g.startWith(s)
--- a/fleet/hold.go
+++ b/fleet/hold.go
@@ -15,11 +15,11 @@
 // Which requests are held is kept on the platform as well, one row each, and read once by an instance that
 // starts: if all instances end at once, none is left to tell.
 
-// holdEvery is the pause between attempts to write or read these rows.
-const holdEvery = time.Second
+// quarantineRetryInterval is the pause between attempts to write or read these rows.
+const quarantineRetryInterval = time.Second
 
-// holdRow is the row of a request that is held; its key is the request's fingerprint.
-type holdRow struct {
+// quarantineRow is the row of a request that is held; its key is the request's fingerprint.
+type quarantineRow struct {
 	Crashes []crashRow `json:"crashes"`
 }
 
@@ -31,18 +31,18 @@
 	SentAt  int64  `json:"sent-at-ms"`
 }
 
-// keepHolds writes a row for each request that this instance was the one to hold.
-func (c *Control) keepHolds() {
+// storeQuarantineRows writes a row for each request that this instance was the one to hold.
+func (c *Control) storeQuarantineRows() {
 	for _, request := range c.settings.Quarantine.NewlyQuarantined() {
-		c.inbox.Go(func() { c.keepHold(request) })
+		c.inbox.Go(func() { c.storeQuarantineRow(request) })
 	}
 }
 
-// keepHold writes the row of a request, until it is done or the request is held no more.
-func (c *Control) keepHold(request uint64) {
+// storeQuarantineRow writes the row of a request, until it is done or the request is held no more.
+func (c *Control) storeQuarantineRow(request uint64) {
 	key := quarantine.Format(request)
 	for c.inbox.Context().Err() == nil && c.settings.Quarantine.Evaluate(request).Quarantined {
-		row := toHoldRow(c.settings.Quarantine.ReportFor(request), c.settings.Timer.Now())
+		row := toQuarantineRow(c.settings.Quarantine.ReportFor(request), c.settings.Timer.Now())
 		value, err := json.Marshal(row)
 		if err != nil {
 			c.settings.Logger.WithError(err).Error("a held request can't be kept")
@@ -57,41 +57,41 @@
 			return
 		}
 		c.settings.Logger.WithError(err).WithField("fingerprint", key).Info("a held request is not kept yet")
-		c.pause(holdEvery)
+		c.sleep(quarantineRetryInterval)
 	}
 }
 
-// readHolds reads the requests that are held, once, and removes rows of others.
-func (c *Control) readHolds() {
+// readQuarantineRows reads the requests that are held, once, and removes rows of others.
+func (c *Control) readQuarantineRows() {
 	for c.inbox.Context().Err() == nil {
 		c.settings.Metrics.Count(meter.PlatformReads, lovageyard.TableQuarantine)
 		list, err := c.settings.Feed.Rows(c.inbox.Context(), lovageyard.TableQuarantine)
 		if err == nil {
-			c.takeHolds(list.Rows)
+			c.applyQuarantineRows(list.Rows)
 			return
 		}
 		c.settings.Metrics.Count(meter.PlatformFailures, lovageyard.TableQuarantine, causeOf(err))
-		c.pause(holdEvery)
+		c.sleep(quarantineRetryInterval)
 	}
 }
 
-// takeHolds takes in rows of requests that are held.
-func (c *Control) takeHolds(rows []lovageyard.Row) {
+// applyQuarantineRows takes in rows of requests that are held.
+func (c *Control) applyQuarantineRows(rows []lovageyard.Row) {
 	for _, row := range rows {
-		request, report, err := fromHoldRow(row, c.settings.Timer.Now())
+		request, report, err := fromQuarantineRow(row, c.settings.Timer.Now())
 		if err != nil {
 			c.settings.Logger.WithError(err).WithField("key", row.Key).Warn("a row is passed over")
 			continue
 		}
 		c.settings.Quarantine.Merge(report)
 		if !c.settings.Quarantine.Evaluate(request).Quarantined {
-			c.removeHold(row)
+			c.removeQuarantineRow(row)
 		}
 	}
 }
 
-// removeHold removes the row of a request that is held no more, unless it has been written again.
-func (c *Control) removeHold(row lovageyard.Row) {
+// removeQuarantineRow removes the row of a request that is held no more, unless it has been written again.
+func (c *Control) removeQuarantineRow(row lovageyard.Row) {
 	c.settings.Metrics.Count(meter.PlatformWrites)
 	_, err := c.settings.Registrar.Transact(c.inbox.Context(), lovageyard.Transaction{
 		Conditions: []lovageyard.Condition{{Table: row.Table, Key: row.Key, Version: row.Version}},
@@ -103,9 +103,9 @@
 	}
 }
 
-// toHoldRow returns the row of a request from the crashes under it.
-func toHoldRow(r quarantine.Report, now time.Time) holdRow {
-	var row holdRow
+// toQuarantineRow returns the row of a request from the crashes under it.
+func toQuarantineRow(r quarantine.Report, now time.Time) quarantineRow {
+	var row quarantineRow
 	for _, crash := range r.Crashes {
 		for _, l := range crash.Losses {
 			row.Crashes = append(row.Crashes, crashRow{
@@ -117,15 +117,15 @@
 	return row
 }
 
-// fromHoldRow returns a request and the crashes under it that a row tells of. The time of day may have jumped since it was
+// fromQuarantineRow returns a request and the crashes under it that a row tells of. The time of day may have jumped since it was
 // written: what seems to lie ahead is taken for new.
-func fromHoldRow(row lovageyard.Row, now time.Time) (uint64, quarantine.Report, error) {
+func fromQuarantineRow(row lovageyard.Row, now time.Time) (uint64, quarantine.Report, error) {
 	var report quarantine.Report
 	request, err := strconv.ParseUint(row.Key, 16, 64)
 	if err != nil {
 		return 0, report, errors.Wrap(err, "fingerprint")
 	}
-	var held holdRow
+	var held quarantineRow
 	if err := json.Unmarshal(row.Value, &held); err != nil {
 		return 0, report, errors.Wrap(err, "crashes")
 	}
--- a/fleet/hold_test.go
+++ b/fleet/hold_test.go
@@ -14,13 +14,13 @@
 
 // All instances end at once, and with them all that they remember. The platform keeps which requests are
 // held, so that no server has to end for it again.
-func TestHeldRequestIsKnownAfterAllInstancesEnded(t *testing.T) {
+func TestQuarantineSurvivesTheExitOfAllInstances(t *testing.T) {
 	const deadly = 0xdead
 	g := newGroup(t)
-	client := platform.NewStore(g.address, quiet())
+	client := platform.NewStore(g.address, discardLogger())
 	start := func(name string) *quarantine.Monitor {
 		s := g.settings(name, 1, client, client)
-		w := quarantine.NewMonitor(quarantine.Settings{Prober: silent{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
+		w := quarantine.NewMonitor(quarantine.Settings{Prober: neverExited{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
 		s.Quarantine = w
 		control := g.startWith(s)
 		g.c.Cleanup(w.Close)
@@ -30,7 +30,7 @@
 	first := start("entry-0")
 	for n := range 3 {
 		time.Sleep(2 * time.Millisecond)
-		lose(first, fmt.Sprint("server-", n), deadly)
+		crashServer(first, fmt.Sprint("server-", n), deadly)
 	}
 	rows := func() []lovageyard.Row {
 		list, err := client.Rows(t.Context(), lovageyard.TableQuarantine)
--- a/fleet/narrow_test.go
+++ b/fleet/narrow_test.go
@@ -28,7 +28,7 @@
 // random peers at the same time, whole each time. One such instance received 1,333 KB a second
 // for eight seconds, while "peer-rows.orders" stood at 12 and "peer-failures" rose from 8 to 37:
 // copies were cut off by the timeout of a call, and begun again from their first byte.
-func TestLargeConfigurationTakesLittleOfANarrowLink(t *testing.T) {
+func TestLargeConfigurationUsesLittleBandwidth(t *testing.T) {
 	g := newGroup(t)
 	l := newLink(g, rate.Inf)
 	for n := range 4 {
@@ -38,21 +38,21 @@
 	narrow := g.startBehind(l, "narrow", "entry-0:2")
 	defer g.stop("narrow")
 	g.until("all live", func() bool { return narrow.View().Ready && len(narrow.View().Live) == 5 })
-	before := l.carried.Load()
+	before := l.sentBytes.Load()
 	large := g.store.PutConfiguration(configuration(2, manyRoutes))
 	size := len(g.value(large))
 	g.until("the large configuration", func() bool { return version(narrow) == 2 })
-	g.c.Assert(int(l.carried.Load()-before) < size, qt.IsTrue, qt.Commentf("%d bytes for a row of %d", l.carried.Load()-before, size))
+	g.c.Assert(int(l.sentBytes.Load()-before) < size, qt.IsTrue, qt.Commentf("%d bytes for a row of %d", l.sentBytes.Load()-before, size))
 
 	// A small change of a large configuration is a small message.
-	before = l.carried.Load()
+	before = l.sentBytes.Load()
 	g.store.PutConfiguration(configuration(3, manyRoutes+1))
 	g.until("one route more", func() bool { return version(narrow) == 3 })
-	g.c.Assert(int(l.carried.Load()-before) < size/20, qt.IsTrue, qt.Commentf("%d bytes for one route more", l.carried.Load()-before))
+	g.c.Assert(int(l.sentBytes.Load()-before) < size/20, qt.IsTrue, qt.Commentf("%d bytes for one route more", l.sentBytes.Load()-before))
 }
 
 // An instance that starts hears the table of all servers, hundreds of small rows that are much alike.
-func TestTableOfManyServersTakesLittleOfANarrowLink(t *testing.T) {
+func TestServerTableUsesLittleBandwidth(t *testing.T) {
 	const servers = 2000
 	g := newGroup(t)
 	l := newLink(g, rate.Inf)
@@ -68,7 +68,7 @@
 	narrow := g.startBehind(l, "narrow", "entry-0:2")
 	defer g.stop("narrow")
 	g.until("the servers from the peer", func() bool { return len(narrow.View().Servers) == servers })
-	g.c.Assert(int(l.carried.Load()) < 30*servers, qt.IsTrue, qt.Commentf("%d bytes for %d servers", l.carried.Load(), servers))
+	g.c.Assert(int(l.sentBytes.Load()) < 30*servers, qt.IsTrue, qt.Commentf("%d bytes for %d servers", l.sentBytes.Load(), servers))
 }
 
 // A row that takes longer than a call to a peer may take without an answer still arrives, as
@@ -101,7 +101,7 @@
 
 // value returns the value of the operator's configuration row.
 func (g *group) value(version int64) []byte {
-	client := platform.NewStore(g.address, quiet())
+	client := platform.NewStore(g.address, discardLogger())
 	defer client.Close()
 	changes, err := client.Watch(context.Background(), lovageyard.TableOrders, version-1, 0)
 	g.c.Assert(err, qt.IsNil)
@@ -111,9 +111,9 @@
 
 // link is what one instance hears its peers through: all their answers share its rate.
 type link struct {
-	g       *group
-	limiter *rate.Limiter
-	carried atomic.Int64
+	g         *group
+	limiter   *rate.Limiter
+	sentBytes atomic.Int64
 }
 
 // burst is the largest piece that a link carries at once.
@@ -126,7 +126,7 @@
 
 // startBehind starts an instance that hears its peers through a link, and can't reach the platform.
 func (g *group) startBehind(l *link, name string, seeds ...string) *fleet.Control {
-	unreachable := platform.NewStore("127.0.0.1:1", quiet())
+	unreachable := platform.NewStore("127.0.0.1:1", discardLogger())
 	s := g.settings(name, 1, unreachable, unreachable, seeds...)
 	s.Peers = linked{link: l, client: peer.NewClient(), addresses: make(map[string]string)}
 	return g.startWith(s)
@@ -183,7 +183,7 @@
 			return written, err
 		}
 		n, err := c.Conn.Write(piece)
-		c.link.carried.Add(int64(n))
+		c.link.sentBytes.Add(int64(n))
 		written += n
 		if err != nil {
 			return written, err
@@ -192,14 +192,14 @@
 	return written, nil
 }
 
-// baseless is a peer that sends differences from a base that nobody else has, unless it is
+// unknownBasePeer is a peer that sends differences from a base that nobody else has, unless it is
 // asked for whole values.
-type baseless struct {
+type unknownBasePeer struct {
 	packer peer.Encoder
 	row    lovageyard.Row
 }
 
-func (p *baseless) Share(_ context.Context, _ string, r *wire.ShareRequest) (*wire.ShareReply, error) {
+func (p *unknownBasePeer) Share(_ context.Context, _ string, r *wire.ShareRequest) (*wire.ShareReply, error) {
 	baseOf := func(lovageyard.Row) (lovageyard.Row, bool) {
 		return lovageyard.Row{Version: 1, Value: p.row.Value[len(p.row.Value)/2:]}, true
 	}
@@ -215,11 +215,11 @@
 	}, nil
 }
 
-func TestRowsWhoseBaseIsNotKnownAreAskedForWhole(t *testing.T) {
+func TestRowsWithAnUnknownBaseAreRequestedInFull(t *testing.T) {
 	g := newGroup(t)
 	version2 := g.store.PutConfiguration(configuration(2, 100))
-	other := &baseless{row: lovageyard.Row{Table: lovageyard.TableOrders, Key: "config", Version: version2, Value: g.value(version2)}}
-	unreachable := platform.NewStore("127.0.0.1:1", quiet())
+	other := &unknownBasePeer{row: lovageyard.Row{Table: lovageyard.TableOrders, Key: "config", Version: version2, Value: g.value(version2)}}
+	unreachable := platform.NewStore("127.0.0.1:1", discardLogger())
 	s := g.settings("entry-1", 1, unreachable, unreachable, "entry-0:2")
 	s.Peers = other
 	control := g.startWith(s)
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -12,19 +12,19 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// heldFeed holds each watch until the test lets it go with a change.
-type heldFeed struct {
+// blockingFeed holds each watch until the test lets it go with a change.
+type blockingFeed struct {
 	// watched gets the table of each watch as it begins.
 	watched chan string
 	// release ends the watch of orders that is under way.
 	release chan lovageyard.Changes
 }
 
-func (f heldFeed) Rows(context.Context, string) (lovageyard.Changes, error) {
+func (f blockingFeed) Rows(context.Context, string) (lovageyard.Changes, error) {
 	return lovageyard.Changes{To: 1}, nil
 }
 
-func (f heldFeed) Watch(ctx context.Context, table string, _ int64, _ time.Duration) (lovageyard.Changes, error) {
+func (f blockingFeed) Watch(ctx context.Context, table string, _ int64, _ time.Duration) (lovageyard.Changes, error) {
 	f.watched <- table
 	var released chan lovageyard.Changes
 	if table == lovageyard.TableOrders {
@@ -38,23 +38,23 @@
 	}
 }
 
-// registrar takes every row and notes that it was asked to.
-type registrar struct {
+// recordingRegistrar takes every row and notes that it was asked to.
+type recordingRegistrar struct {
 	asked atomic.Bool
 }
 
-func (r *registrar) Transact(context.Context, lovageyard.Transaction) (int64, error) {
+func (r *recordingRegistrar) Transact(context.Context, lovageyard.Transaction) (int64, error) {
 	r.asked.Store(true)
 	return 1, nil
 }
 
-// pauses is a timer service that tells of each pause that begins.
-type pauses struct {
+// recordingTimer is a timer service that tells of each pause that begins.
+type recordingTimer struct {
 	*timer.Manual
 	begun chan time.Duration
 }
 
-func (p pauses) After(d time.Duration) lovageyard.Ticker {
+func (p recordingTimer) After(d time.Duration) lovageyard.Ticker {
 	ticks := p.Manual.After(d)
 	p.begun <- d
 	return ticks
@@ -65,7 +65,7 @@
 	select {
 	case got := <-from:
 		return got
-	case <-time.After(waitFor):
+	case <-time.After(waitTimeout):
 		c.Fatalf("not reached: %s", what)
 		panic("not reached")
 	}
@@ -80,13 +80,13 @@
 
 // A change that follows another one is asked for within a second: leaving servers and
 // configurations have to be known everywhere two seconds after they are accepted.
-func TestChangesThatFollowEachOtherAreReadSoon(t *testing.T) {
+func TestConsecutiveChangesAreReadPromptly(t *testing.T) {
 	const soon = time.Second
 	c := qt.New(t)
 	g := newGroup(t)
-	clock := pauses{Manual: timer.NewManual(time.Unix(1000, 0)), begun: make(chan time.Duration, 100)}
-	feed := heldFeed{watched: make(chan string, 100), release: make(chan lovageyard.Changes)}
-	rows := &registrar{}
+	clock := recordingTimer{Manual: timer.NewManual(time.Unix(1000, 0)), begun: make(chan time.Duration, 100)}
+	feed := blockingFeed{watched: make(chan string, 100), release: make(chan lovageyard.Changes)}
+	rows := &recordingRegistrar{}
 	s := g.settings("a", 1, feed, rows)
 	s.Timer = clock
 	g.startWith(s)
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -18,17 +18,17 @@
 // platform watches the platform itself.
 
 const (
-	// followFor is how long a call to a relay waits for rows.
-	followFor = 20 * time.Second
-	// followConfirmedFor is the same while the relay answers each time that it has confirmed its
+	// relayWait is how long a call to a relay waits for rows.
+	relayWait = 20 * time.Second
+	// relayConfirmWait is the same while the relay answers each time that it has confirmed its
 	// configuration with the platform, about each second.
-	followConfirmedFor = 2 * time.Second
+	relayConfirmWait = 2 * time.Second
 )
 
-// followed is the state of the calls to one relay.
-type followed struct {
-	// sound says that the last call brought an answer of a relay that reads the platform.
-	sound bool
+// relayState is the state of the calls to one relay.
+type relayState struct {
+	// healthy says that the last call brought an answer of a relay that reads the platform.
+	healthy bool
 }
 
 // relayNames returns the relays that instances of the own failure domain follow.
@@ -84,96 +84,96 @@
 // watches the platform itself.
 func (c *Control) followRelays() {
 	addresses := c.relayAddresses()
-	c.relaying.Store(len(addresses) == 0)
+	c.isRelay.Store(len(addresses) == 0)
 	for address := range c.relays {
 		if !slices.Contains(addresses, address) {
 			delete(c.relays, address)
 		}
 	}
-	if c.hasReadAll() {
+	if c.hasAllTables() {
 		for _, address := range addresses {
 			if c.relays[address] == nil {
-				c.relays[address] = &followed{}
+				c.relays[address] = &relayState{}
 			}
-			c.followAt(address)
+			c.callRelay(address)
 		}
 	}
-	c.direct.Store(!c.followsOne())
+	c.watchesPlatform.Store(!c.hasHealthyRelay())
 }
 
-// followsOne says whether a relay that reads the platform is followed.
-func (c *Control) followsOne() bool {
+// hasHealthyRelay says whether a relay that reads the platform is followed.
+func (c *Control) hasHealthyRelay() bool {
 	for _, f := range c.relays {
-		if f.sound {
+		if f.healthy {
 			return true
 		}
 	}
 	return false
 }
 
-// followAt begins a call to a relay. The first one does not wait, as it is to show soon
+// callRelay begins a call to a relay. The first one does not wait, as it is to show soon
 // whether the relay reads the platform.
-func (c *Control) followAt(address string) {
+func (c *Control) callRelay(address string) {
 	request := c.newRequest()
 	request.Cursors = c.cursors()
-	if c.relays[address].sound {
-		request.WaitMs = followFor.Milliseconds()
-		if request.Confirm = c.mustConfirm(); request.Confirm {
-			request.WaitMs = followConfirmedFor.Milliseconds()
+	if c.relays[address].healthy {
+		request.WaitMs = relayWait.Milliseconds()
+		if request.Confirm = c.needsConfirmation(); request.Confirm {
+			request.WaitMs = relayConfirmWait.Milliseconds()
 		}
 	}
 	c.inbox.Call("follow "+address, func(ctx context.Context) message {
 		askedAt := c.settings.Timer.Elapsed()
 		reply, err := c.settings.Peers.Share(ctx, address, request)
-		return relayed{address: address, reply: reply, err: err, askedAt: askedAt}
+		return relayResult{address: address, reply: reply, err: err, askedAt: askedAt}
 	})
 }
 
-// relayed is the end of a call to a relay.
-type relayed struct {
+// relayResult is the end of a call to a relay.
+type relayResult struct {
 	address string
 	reply   *wire.ShareReply
 	err     error
 	askedAt time.Duration
 }
 
-func (m relayed) Apply(c *Control) {
+func (m relayResult) Apply(c *Control) {
 	f := c.relays[m.address]
 	if f == nil {
 		return
 	}
-	before := f.sound
-	f.sound = m.err == nil && !m.reply.GetStale()
-	if before != f.sound {
-		c.settings.Logger.WithField("relay", m.address).WithField("sound", f.sound).Info("relay judged anew")
+	before := f.healthy
+	f.healthy = m.err == nil && !m.reply.GetStale()
+	if before != f.healthy {
+		c.settings.Logger.WithField("relay", m.address).WithField("sound", f.healthy).Info("relay judged anew")
 	}
 	if m.err != nil {
-		c.peerFailed(m.address, m.err)
+		c.recordPeerFailure(m.address, m.err)
 	} else {
 		now := c.settings.Timer.Now()
-		c.hear(m.reply.GetFrom(), m.reply.GetPulses(), now)
+		c.observe(m.reply.GetFrom(), m.reply.GetPulses(), now)
 		for _, t := range m.reply.GetChanges() {
-			c.hearChanges(t, now)
+			c.applyChanges(t, now)
 		}
-		c.noteWord(m.reply.GetConfirmation(), m.askedAt)
+		c.recordConfirmation(m.reply.GetConfirmation(), m.askedAt)
 	}
-	if f.sound {
+	if f.healthy {
 		for _, table := range lovageyard.FollowedTables() {
-			c.feedWorks(table, c.settings.Timer.Now())
+			c.recordFeedSuccess(table, c.settings.Timer.Now())
 		}
 		// A relay that is not sound is asked again at the next tick.
 		c.followRelays()
 		return
 	}
-	c.direct.Store(!c.followsOne())
+	c.watchesPlatform.Store(!c.hasHealthyRelay())
 }
 
 // waiter is a peer's call that waits for rows.
 type waiter struct {
-	asked
+	shareCall
 	until time.Time
-	// reads is the number of times that the configuration had been confirmed as the call came.
-	reads int
+	// readCount is the number of times that the configuration had been confirmed as the call came.
+	readCount int
 }
 
 // answerWaiters answers the calls for which there are rows, whose time is over, or that
@@ -182,27 +182,27 @@
 	kept := c.waiters[:0]
 	for _, w := range c.waiters {
 		changes := c.changesFor(w.request)
-		confirmed := w.request.GetConfirm() && c.confirmations.reads > w.reads
+		confirmed := w.request.GetConfirm() && c.confirmations.readCount > w.readCount
 		if len(changes) == 0 && now.Before(w.until) && !c.isStale() && !confirmed {
 			kept = append(kept, w)
 			continue
 		}
-		w.answer <- c.reply(w.asked, changes)
+		w.answer <- c.newReply(w.shareCall, changes)
 	}
 	c.waiters = kept
 }
 
 // isStale says whether this instance can't read the platform at present.
 func (c *Control) isStale() bool {
-	return len(c.failing) > 0 || !c.hasReadAll()
+	return len(c.failingSince) > 0 || !c.hasAllTables()
 }
 
-func (c *Control) reply(m asked, changes []*wire.TableChanges) *wire.ShareReply {
+func (c *Control) newReply(m shareCall, changes []*wire.TableChanges) *wire.ShareReply {
 	reply := &wire.ShareReply{
 		From:         peer.FromMember(c.self),
 		Changes:      changes,
-		Stale:        c.isStale() || !c.direct.Load(),
-		Confirmation: c.confirmation(m.arrivedAt),
+		Stale:        c.isStale() || !c.watchesPlatform.Load(),
+		Confirmation: c.confirmation(m.receivedAt),
 	}
 	if !m.request.GetConfirm() || len(changes) > 0 {
 		// Answers that only confirm come each second, and word of others comes by exchanges.
@@ -211,14 +211,14 @@
 	return reply
 }
 
-// awaitTurn waits until this instance is to watch the platform itself; it returns false
+// awaitWatching waits until this instance is to watch the platform itself; it returns false
 // when the loop has ended.
-func (c *Control) awaitTurn() bool {
+func (c *Control) awaitWatching() bool {
 	for c.inbox.Context().Err() == nil {
-		if c.direct.Load() {
+		if c.watchesPlatform.Load() {
 			return true
 		}
-		c.pause(turnEvery)
+		c.sleep(relayCheckInterval)
 	}
 	return false
 }
@@ -234,19 +234,19 @@
 		if len(changes.Rows) == 0 && changes.After > 0 {
 			continue
 		}
-		packed, err := c.packer.EncodeTable(cursor.GetTable(), changes, c.baseAt(cursor), r.GetReads())
+		packed, err := c.encoder.EncodeTable(cursor.GetTable(), changes, c.baseLookup(cursor), r.GetReads())
 		if err != nil {
 			c.settings.Logger.WithError(err).Error("rows can't be sent to a peer")
 			continue
 		}
-		packed.AgeMs = c.ageOf(cursor.GetTable(), c.settings.Timer.Now())
+		packed.AgeMs = c.changeAge(cursor.GetTable(), c.settings.Timer.Now())
 		out = append(out, packed)
 	}
 	return out
 }
 
-// baseAt returns the rows that a peer holds by what it has told.
-func (c *Control) baseAt(cursor *wire.Cursor) peer.BaseLookup {
+// baseLookup returns the rows that a peer holds by what it has told.
+func (c *Control) baseLookup(cursor *wire.Cursor) peer.BaseLookup {
 	if cursor.GetWhole() {
 		return peer.NoBase
 	}
--- a/fleet/restart_test.go
+++ b/fleet/restart_test.go
@@ -11,13 +11,13 @@
 	"lovageyard.example/lovageyard/platform"
 )
 
-// passing is a peer that passes on word of another instance.
-type passing struct {
+// gossipingPeer is a peer that passes on word of another instance.
+type gossipingPeer struct {
 	life      atomic.Int64
 	heartbeat atomic.Int64
 }
 
-func (p *passing) Share(context.Context, string, *wire.ShareRequest) (*wire.ShareReply, error) {
+func (p *gossipingPeer) Share(context.Context, string, *wire.ShareRequest) (*wire.ShareReply, error) {
 	return &wire.ShareReply{
 		Stale:  true,
 		Pulses: []*wire.Pulse{{Instance: "entry-9", Life: p.life.Load(), Heartbeat: p.heartbeat.Add(1)}},
@@ -28,29 +28,29 @@
 // others does not carry them: they stand in its row. A look-up named the old address for 17 s, and an
 // eighth of the callers' connections were refused ("709 of 811 requests were served"), with each
 // instance answering all that reached it.
-func TestNewLifeOfAnInstanceIsNamedByItsNewAddress(t *testing.T) {
+func TestRestartedInstanceIsListedAtItsNewAddress(t *testing.T) {
 	g := newGroup(t)
 	register := func(address string) {
 		g.store.Put(platform.StoreTable(lovageyard.TableInstances), "entry-9", lovageyard.EntryInstance{
 			Name: "entry-9", FailureDomain: "north-1", Region: "north", CallerAddress: address, PeerAddress: address, State: lovageyard.StateLive,
 		})
 	}
-	other := &passing{}
+	other := &gossipingPeer{}
 	other.life.Store(5)
 	register("10.0.0.9:1")
-	client := platform.NewStore(g.address, quiet())
+	client := platform.NewStore(g.address, discardLogger())
 	s := g.settings("entry-1", 1, client, client, "entry-0:2")
 	s.Peers = other
 	control := g.startWith(s)
 	defer g.stop("entry-1")
-	g.until("the first address", func() bool { return names(control, "10.0.0.9:1") })
+	g.until("the first address", func() bool { return listsAddress(control, "10.0.0.9:1") })
 	other.life.Store(6)
 	register("10.0.0.9:2")
-	g.until("the second address", func() bool { return names(control, "10.0.0.9:2") && !names(control, "10.0.0.9:1") })
+	g.until("the second address", func() bool { return listsAddress(control, "10.0.0.9:2") && !listsAddress(control, "10.0.0.9:1") })
 }
 
-// names says whether an instance names an address to callers.
-func names(c *fleet.Control, address string) bool {
+// listsAddress says whether an instance names an address to callers.
+func listsAddress(c *fleet.Control, address string) bool {
 	for _, m := range c.View().Live {
 		if m.CallerAddress == address {
 			return true
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -20,17 +20,17 @@
 
 // Limits of the exchange between instances.
 const (
-	// nearFanOut and anyFanOut are the numbers of random peers of the own region, and of all,
+	// regionFanOut and anyFanOut are the numbers of random peers of the own region, and of all,
 	// that an instance exchanges with each tick.
-	nearFanOut = 2
-	anyFanOut  = 1
+	regionFanOut = 2
+	globalFanOut = 1
 	// maxPulses bounds the instances that one message passes word of.
 	maxPulses = 24
-	// maxAsked is the number of peers that an instance without rows asks at a time, as one of
+	// maxTableRequests is the number of peers that an instance without rows asks at a time, as one of
 	// them may be silent.
-	maxAsked = 2
-	// maxTold bounds the peers that a leaving instance tells itself.
-	maxTold = 16
+	maxTableRequests = 2
+	// maxLeaveNotifications bounds the peers that a leaving instance tells itself.
+	maxLeaveNotifications = 16
 )
 
 // partner is a peer to exchange with.
@@ -40,32 +40,32 @@
 	region string
 }
 
-// shareWithSome exchanges with a few random peers, of which some are in the own region.
-func (c *Control) shareWithSome() {
+// gossip exchanges with a few random peers, of which some are in the own region.
+func (c *Control) gossip() {
 	partners := c.partners()
 	near := slices.DeleteFunc(slices.Clone(partners), func(p partner) bool { return p.region != c.self.Region })
-	c.compareWith(partners[:min(anyFanOut, len(partners))])
-	c.shareWith(near[:min(nearFanOut, len(near))])
+	c.exchangeDigests(partners[:min(globalFanOut, len(partners))])
+	c.exchangeWithAll(near[:min(regionFanOut, len(near))])
 }
 
-// compareWith exchanges with peers, and asks them for what they know of crashes if that differs.
-func (c *Control) compareWith(partners []partner) {
+// exchangeDigests exchanges with peers, and asks them for what they know of crashes if that differs.
+func (c *Control) exchangeDigests(partners []partner) {
 	for _, p := range partners {
-		request := c.request()
+		request := c.gossipRequest()
 		c.addDigest(request)
 		c.exchange("share "+p.address, p.address, request)
 	}
 }
 
-// shareWithMany exchanges with every known peer, up to a bound.
-func (c *Control) shareWithMany() {
+// notifyPeers exchanges with every known peer, up to a bound.
+func (c *Control) notifyPeers() {
 	partners := c.partners()
-	c.shareWith(partners[:min(maxTold, len(partners))])
+	c.exchangeWithAll(partners[:min(maxLeaveNotifications, len(partners))])
 }
 
-func (c *Control) shareWith(partners []partner) {
+func (c *Control) exchangeWithAll(partners []partner) {
 	for _, p := range partners {
-		c.shareAt(p)
+		c.exchangeWith(p)
 	}
 }
 
@@ -96,8 +96,8 @@
 	return partners
 }
 
-func (c *Control) shareAt(p partner) {
-	c.exchange("share "+p.address, p.address, c.request())
+func (c *Control) exchangeWith(p partner) {
+	c.exchange("share "+p.address, p.address, c.gossipRequest())
 }
 
 // newRequest returns a call to a peer that says who asks and what it reads.
@@ -105,25 +105,25 @@
 	return &wire.ShareRequest{From: peer.FromMember(c.self), Reads: peer.NewestEncoding}
 }
 
-// request returns what an exchange with a peer begins with.
-func (c *Control) request() *wire.ShareRequest {
+// gossipRequest returns what an exchange with a peer begins with.
+func (c *Control) gossipRequest() *wire.ShareRequest {
 	request := c.newRequest()
 	request.Pulses = c.pulses()
-	if c.hasReadAll() {
+	if c.hasAllTables() {
 		// Before, whole tables are asked for at few peers at a time; see askForRows.
 		request.Cursors = c.cursors()
 	}
 	return request
 }
 
-// askForRows asks a few random peers for whole tables, unless it did so a moment ago.
-func (c *Control) askForRows(now time.Time) {
-	if !c.askedAt.IsZero() && now.Sub(c.askedAt) < askEvery {
+// requestTables asks a few random peers for whole tables, unless it did so a moment ago.
+func (c *Control) requestTables(now time.Time) {
+	if !c.tablesRequestedAt.IsZero() && now.Sub(c.tablesRequestedAt) < tableRequestInterval {
 		return
 	}
-	c.askedAt = now
+	c.tablesRequestedAt = now
 	partners := c.partners()
-	for n, p := range partners[:min(maxAsked, len(partners))] {
+	for n, p := range partners[:min(maxTableRequests, len(partners))] {
 		request := c.newRequest()
 		request.Pulses, request.Cursors = c.pulses(), c.cursors()
 		c.exchange("ask for rows "+strconv.Itoa(n), p.address, request)
@@ -135,12 +135,12 @@
 	c.inbox.Call(name, func(ctx context.Context) message {
 		askedAt := c.settings.Timer.Elapsed()
 		reply, err := c.settings.Peers.Share(ctx, address, request)
-		return shared{address: address, reply: reply, err: err, askedAt: askedAt}
+		return exchangeResult{address: address, reply: reply, err: err, askedAt: askedAt}
 	})
 }
 
-// hasReadAll says whether all followed tables have been read from the platform or a peer.
-func (c *Control) hasReadAll() bool {
+// hasAllTables says whether all followed tables have been read from the platform or a peer.
+func (c *Control) hasAllTables() bool {
 	for _, table := range lovageyard.FollowedTables() {
 		if c.state.Cursor(table) == 0 {
 			return false
@@ -168,36 +168,36 @@
 func (c *Control) cursors() []*wire.Cursor {
 	var out []*wire.Cursor
 	for _, table := range lovageyard.FollowedTables() {
-		out = append(out, &wire.Cursor{Table: table, Version: c.state.Cursor(table), Whole: c.whole[table]})
+		out = append(out, &wire.Cursor{Table: table, Version: c.state.Cursor(table), Whole: c.needsFullValues[table]})
 	}
 	return out
 }
 
-// shared is the end of an exchange that this instance began.
-type shared struct {
+// exchangeResult is the end of an exchange that this instance began.
+type exchangeResult struct {
 	address string
 	reply   *wire.ShareReply
 	err     error
 	askedAt time.Duration
 }
 
-func (m shared) Apply(c *Control) {
+func (m exchangeResult) Apply(c *Control) {
 	if m.err != nil {
-		c.peerFailed(m.address, m.err)
+		c.recordPeerFailure(m.address, m.err)
 		return
 	}
 	c.settings.Metrics.Count(meter.PeerExchanges)
 	now := c.settings.Timer.Now()
-	c.hear(m.reply.GetFrom(), m.reply.GetPulses(), now)
-	c.hearCrashes(m.reply.GetCrashes(), m.reply.GetClearances())
+	c.observe(m.reply.GetFrom(), m.reply.GetPulses(), now)
+	c.applyCrashes(m.reply.GetCrashes(), m.reply.GetClearances())
 	for _, t := range m.reply.GetChanges() {
-		c.hearChanges(t, now)
+		c.applyChanges(t, now)
 	}
-	c.noteWord(m.reply.GetConfirmation(), m.askedAt)
+	c.recordConfirmation(m.reply.GetConfirmation(), m.askedAt)
 }
 
-// peerFailed notes that an exchange with a peer failed.
-func (c *Control) peerFailed(address string, err error) {
+// recordPeerFailure notes that an exchange with a peer failed.
+func (c *Control) recordPeerFailure(address string, err error) {
 	c.settings.Metrics.Count(meter.PeerFailures, causeOf(err))
 	c.settings.Logger.WithError(err).WithField("peer", address).Debug("a peer did not answer")
 }
@@ -217,24 +217,24 @@
 	return causeOther
 }
 
-func (c *Control) hear(from *wire.Member, pulses []*wire.Pulse, now time.Time) {
+func (c *Control) observe(from *wire.Member, pulses []*wire.Pulse, now time.Time) {
 	live := len(c.members.Live())
 	if from.GetInstance() != "" {
-		c.spokeIn[from.GetInstance()] = from.GetLife()
-		c.hearMember(peer.ToMember(from), now)
+		c.directIncarnations[from.GetInstance()] = from.GetLife()
+		c.observeMember(peer.ToMember(from), now)
 	}
 	for _, p := range pulses {
-		c.hearPulse(p, now)
+		c.observePulse(p, now)
 	}
 	if len(c.members.Live()) != live {
 		c.dirty = true
 	}
 }
 
-// hearPulse takes in word of an instance, if it is known who that is.
-func (c *Control) hearPulse(p *wire.Pulse, now time.Time) {
+// observePulse takes in word of an instance, if it is known who that is.
+func (c *Control) observePulse(p *wire.Pulse, now time.Time) {
 	m, known := c.members.Find(p.GetInstance())
-	if !known || p.GetLife() != c.spokeIn[p.GetInstance()] {
+	if !known || p.GetLife() != c.directIncarnations[p.GetInstance()] {
 		// A life that has not spoken here itself is described by its row.
 		if row, listed := c.state.Instance(p.GetInstance()); listed {
 			m.EntryInstance, known = row, true
@@ -251,12 +251,12 @@
 	if p.GetLeaving() {
 		m.State = lovageyard.StateLeaving
 	}
-	c.hearMember(m, now)
+	c.observeMember(m, now)
 }
 
-// hearMember takes in what is said of a member. If an earlier life of this instance seems
+// observeMember takes in what is said of a member. If an earlier life of this instance seems
 // to be the newer one, as after a step of the time of day, this life is made the newer.
-func (c *Control) hearMember(m instance.Member, now time.Time) {
+func (c *Control) observeMember(m instance.Member, now time.Time) {
 	if m.Name != c.self.Name {
 		before, known := c.members.Find(m.Name)
 		c.members.Observe(m, now)
@@ -271,27 +271,27 @@
 	}
 }
 
-func (c *Control) hearChanges(t *wire.TableChanges, now time.Time) {
-	changes, err := c.toChanges(t)
+func (c *Control) applyChanges(t *wire.TableChanges, now time.Time) {
+	changes, err := c.decodeChanges(t)
 	if err != nil {
 		// The next peer that is asked sends values that need no base.
-		c.whole[t.GetTable()] = true
+		c.needsFullValues[t.GetTable()] = true
 		c.settings.Logger.WithError(err).WithField("table", t.GetTable()).Warn("rows of a peer can't be read, whole ones are asked for")
 		return
 	}
-	delete(c.whole, t.GetTable())
-	if age := t.GetAgeMs(); age >= 0 && c.hasNews(changes.Rows) {
-		c.noteAge(t.GetTable(), time.Duration(age)*time.Millisecond, now)
+	delete(c.needsFullValues, t.GetTable())
+	if age := t.GetAgeMs(); age >= 0 && c.hasNewRows(changes.Rows) {
+		c.recordChangeAge(t.GetTable(), time.Duration(age)*time.Millisecond, now)
 	}
 	applied, faults := c.state.ApplyChanges(t.GetTable(), changes, now)
-	c.logFaults(faults)
+	c.logInvalidRows(faults)
 	if applied && len(changes.Rows) > 0 {
 		c.dirty = true
 	}
 }
 
-// toChanges returns the changes of a wire message; rows that are known already are left unread.
-func (c *Control) toChanges(t *wire.TableChanges) (lovageyard.Changes, error) {
+// decodeChanges returns the changes of a wire message; rows that are known already are left unread.
+func (c *Control) decodeChanges(t *wire.TableChanges) (lovageyard.Changes, error) {
 	whole, err := peer.DecodeTable(t)
 	if err != nil {
 		return lovageyard.Changes{}, err
@@ -329,7 +329,7 @@
 // Share answers an exchange that a peer began.
 func (c *Control) Share(ctx context.Context, r *wire.ShareRequest) (*wire.ShareReply, error) {
 	answer := make(chan *wire.ShareReply, 1)
-	if !c.inbox.Post(asked{request: r, answer: answer}) {
+	if !c.inbox.Post(shareCall{request: r, answer: answer}) {
 		return nil, context.Canceled
 	}
 	select {
@@ -342,26 +342,26 @@
 	}
 }
 
-// asked is an exchange that a peer began.
-type asked struct {
+// shareCall is an exchange that a peer began.
+type shareCall struct {
 	request *wire.ShareRequest
 	answer  chan *wire.ShareReply
-	// arrivedAt is when the call was read here; see lovageyard.Timer.
-	arrivedAt time.Duration
+	// receivedAt is when the call was read here; see lovageyard.Timer.
+	receivedAt time.Duration
 }
 
-func (m asked) Apply(c *Control) {
+func (m shareCall) Apply(c *Control) {
 	now := c.settings.Timer.Now()
-	m.arrivedAt = c.settings.Timer.Elapsed()
-	c.hear(m.request.GetFrom(), m.request.GetPulses(), now)
-	c.hearCrashes(m.request.GetCrashes(), m.request.GetClearances())
+	m.receivedAt = c.settings.Timer.Elapsed()
+	c.observe(m.request.GetFrom(), m.request.GetPulses(), now)
+	c.applyCrashes(m.request.GetCrashes(), m.request.GetClearances())
 	changes := c.changesFor(m.request)
 	if m.request.GetWaitMs() > 0 && len(changes) == 0 && !c.isStale() {
 		until := now.Add(time.Duration(m.request.GetWaitMs()) * time.Millisecond)
-		c.waiters = append(c.waiters, waiter{asked: m, until: until, reads: c.confirmations.reads})
+		c.waiters = append(c.waiters, waiter{shareCall: m, until: until, readCount: c.confirmations.readCount})
 		return
 	}
-	reply := c.reply(m, changes)
-	c.answerCrashes(m.request, reply)
+	reply := c.newReply(m, changes)
+	c.addCrashes(m.request, reply)
 	m.answer <- reply
 }
--- a/fleet/silence_test.go
+++ b/fleet/silence_test.go
@@ -25,20 +25,20 @@
 	wait  time.Duration
 }
 
-// silentWatches answers whole tables, and leaves calls for changes unanswered until the test fails those of
+// blockingWatches answers whole tables, and leaves calls for changes unanswered until the test fails those of
 // one table.
-type silentWatches struct {
+type blockingWatches struct {
 	calls chan watchCall
 	// failing ends the calls for changes of orders.
 	failing chan struct{}
 	once    sync.Once
 }
 
-func (f *silentWatches) Rows(context.Context, string) (lovageyard.Changes, error) {
+func (f *blockingWatches) Rows(context.Context, string) (lovageyard.Changes, error) {
 	return lovageyard.Changes{To: 1}, nil
 }
 
-func (f *silentWatches) Watch(ctx context.Context, table string, _ int64, wait time.Duration) (lovageyard.Changes, error) {
+func (f *blockingWatches) Watch(ctx context.Context, table string, _ int64, wait time.Duration) (lovageyard.Changes, error) {
 	f.calls <- watchCall{table: table, wait: wait}
 	var failing chan struct{}
 	if table == lovageyard.TableOrders {
@@ -52,14 +52,14 @@
 	}
 }
 
-func (f *silentWatches) fail() {
+func (f *blockingWatches) fail() {
 	f.once.Do(func() { close(f.failing) })
 }
 
 // watchAll starts an instance and returns once it waits for changes of all tables, with the waits of these calls.
-func watchAll(g *group, feed *silentWatches) map[string]time.Duration {
+func watchAll(g *group, feed *blockingWatches) map[string]time.Duration {
 	clock := timer.NewManual(time.Unix(1000, 0))
-	rows := &registrar{}
+	rows := &recordingRegistrar{}
 	s := g.settings("a", 1, feed, rows)
 	s.Timer = clock
 	g.startWith(s)
@@ -77,9 +77,9 @@
 
 // The platform may fall silent for a moment while all calls wait for changes, and never answer these: the
 // first that is given up ends the others, so that changes made meanwhile are heard.
-func TestCallsThatWaitAreGivenUpOnceOneFails(t *testing.T) {
+func TestPendingWatchesAreCancelledWhenOneFails(t *testing.T) {
 	c := qt.New(t)
-	feed := &silentWatches{calls: make(chan watchCall, 100), failing: make(chan struct{})}
+	feed := &blockingWatches{calls: make(chan watchCall, 100), failing: make(chan struct{})}
 	g := newGroup(t)
 	watchAll(g, feed)
 	defer g.stop("a")
@@ -99,7 +99,7 @@
 func TestCallsForConfigurationsAndServersDoNotWaitLong(t *testing.T) {
 	const longest = 3 * time.Second
 	c := qt.New(t)
-	feed := &silentWatches{calls: make(chan watchCall, 100), failing: make(chan struct{})}
+	feed := &blockingWatches{calls: make(chan watchCall, 100), failing: make(chan struct{})}
 	g := newGroup(t)
 	waits := watchAll(g, feed)
 	defer g.stop("a")
@@ -125,13 +125,13 @@
 }
 
 // While the platform is away, the relays look for its return, and the others mostly leave that to them.
-func TestFewLookForThePlatformsReturn(t *testing.T) {
+func TestFewInstancesProbeThePlatformDuringAnOutage(t *testing.T) {
 	const count, enough = 6, 60
 	g := newGroup(t)
 	feeds := make(map[string]*countedFeed)
 	for n := range count {
 		name := fmt.Sprint("entry-", n)
-		client := platform.NewStore(g.address, quiet())
+		client := platform.NewStore(g.address, discardLogger())
 		feeds[name] = &countedFeed{Feed: client}
 		g.startOn(name, 1, feeds[name], client)
 		defer g.stop(name)
--- a/fleet/version_test.go
+++ b/fleet/version_test.go
@@ -16,7 +16,7 @@
 // An instance of an older version asks beside this one, as in a rolling replacement. It does not say
 // that it reads compressed rows: to it they would be rows without values, its cursor would go on, and the
 // change would be lost on it until it reads the platform itself.
-func TestPeerOfAnOlderVersionGetsPlainRows(t *testing.T) {
+func TestOlderPeerGetsUncompressedRows(t *testing.T) {
 	g := newGroup(t)
 	for n := range 20 {
 		g.store.Put(platform.StoreTable(lovageyard.TableServers), strings.Repeat("s", n+1), map[string]any{"Addr": strings.Repeat("x", 2000)})
@@ -44,12 +44,12 @@
 	g.c.Assert(ask(9)[0].GetForm(), qt.Equals, int32(1))
 }
 
-// later is a peer of a later version that sends rows in a form which this one does not know.
-type later struct {
+// newerPeer is a peer of a later version that sends rows in a form which this one does not know.
+type newerPeer struct {
 	asked atomic.Int64
 }
 
-func (l *later) Share(context.Context, string, *wire.ShareRequest) (*wire.ShareReply, error) {
+func (l *newerPeer) Share(context.Context, string, *wire.ShareRequest) (*wire.ShareReply, error) {
 	l.asked.Add(1)
 	return &wire.ShareReply{Changes: []*wire.TableChanges{{
 		Table: lovageyard.TableOrders, Form: 99,
@@ -58,11 +58,11 @@
 }
 
 // Changes in a form that is not known are no changes that were seen.
-func TestFormOfALaterVersionIsNotTakenIn(t *testing.T) {
+func TestUnknownEncodingIsRejected(t *testing.T) {
 	g := newGroup(t)
-	client := platform.NewStore(g.address, quiet())
+	client := platform.NewStore(g.address, discardLogger())
 	s := g.settings("entry-0", 1, client, client, "entry-9:2")
-	peer := &later{}
+	peer := &newerPeer{}
 	s.Peers = peer
 	control := g.startWith(s)
 	defer g.stop("entry-0")
--- a/fleet/waits.go
+++ b/fleet/waits.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// waits holds the calls that wait for changes, so that they can be given up together: a platform
+// pendingWatches holds the calls that wait for changes, so that they can be given up together: a platform
 // that falls silent for a moment may never answer any of them.
-type waits struct {
+type pendingWatches struct {
 	mu     sync.Mutex
 	cancel map[string]context.CancelFunc
 }
 
-// begin returns the context of a call that waits for the changes of a table, and what ends it.
-func (w *waits) begin(ctx context.Context, table string) (context.Context, context.CancelFunc) {
+// add returns the context of a call that waits for the changes of a table, and what ends it.
+func (w *pendingWatches) add(ctx context.Context, table string) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -29,8 +29,8 @@
 	}
 }
 
-// giveUp ends all calls that wait.
-func (w *waits) giveUp() {
+// cancelAll ends all calls that wait.
+func (w *pendingWatches) cancelAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, cancel := range w.cancel {
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -173,7 +173,7 @@
 		Seeds:      o.PeerAddresses,
 		Seed:       uint64(self.Incarnation),
 
-		MaxConfigurationAge: o.RevokeWithin,
+		MaxConfirmationAge: o.RevokeWithin,
 	})
 	e.limiter = quota.NewLimiter(quota.Settings{
 		Self:    o.Instance,
@@ -301,7 +301,7 @@
 	e.meters.Update(meter.InFlight, int64(census.InFlight))
 	e.meters.Update(meter.ConfigurationNow, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
-	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfigurationAge()))
+	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfirmationAge()))
 	e.meters.Update(meter.LimitsTight, int64(e.limiter.MeteredCount()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
