--- a/fleet/age.go
+++ b/fleet/age.go
@@ -7,14 +7,14 @@
 	"lovageyard.example/lovageyard/meter"
 )
 
-// The age of a change counts from the moment when the first instance heard of it from the
-// platform. It is carried along as a span, so that no two clocks are compared; the time on the
-// way between two instances is left out (half a round trip).
+// The age of a change is the time since the first instance read it from the platform. Messages carry
+// it as a duration, so that clocks of different machines are never compared; the network delay between
+// two instances (half a round trip) is not counted.
 
-// unknownAge is the age of changes that nobody has told the age of, in milliseconds.
+// unknownAge stands for an unknown age of a change, in milliseconds.
 const unknownAge = -1
 
-// hasNewRows says whether any of the rows is not known yet.
+// hasNewRows reports whether any of the rows has not been applied yet.
 func (c *Control) hasNewRows(rows []lovageyard.Row) bool {
 	for _, r := range rows {
 		if !c.state.HasRow(r) {
@@ -24,7 +24,8 @@
 	return false
 }
 
-// recordChangeAge notes that news of a table came that the first instance heard of some time ago.
+// recordChangeAge records the receipt of new changes of a table that the first instance read the given
+// time ago.
 func (c *Control) recordChangeAge(table string, age time.Duration, now time.Time) {
 	if at := now.Add(-age); at.After(c.firstReadAt[table]) {
 		c.firstReadAt[table] = at
--- a/fleet/confirm.go
+++ b/fleet/confirm.go
@@ -8,44 +8,45 @@
 	"lovageyard.example/lovageyard/peer/wire"
 )
 
-// While there are client accounts, requests are served by a configuration only as long as it is known to be
-// the newest: a key may be taken away at any moment. Relays ask the platform again and again, and their
-// followers wait at them for word of each answer, with its age; a follower has two relays, and hears from
-// random peers each second.
+// While there are client accounts, a configuration is used only if it was recently confirmed to be the
+// newest, as a key may be revoked at any time. Relays poll the platform, and other instances wait at
+// the relays for each confirmation, which carries its age. An instance that is not a relay follows two
+// relays and also exchanges confirmations with random peers each second.
 
-// confirmWaitPercent is how long a call for changes waits while the configuration has to be confirmed, in
-// hundredths of the age that its knowledge should stay well below: what a follower knows is older than at
-// its relay, by up to the time between two answers, and one answer of each may be lost.
+// confirmWaitPercent is how long a watch waits while the configuration has to be confirmed, in percent of
+// MaxConfirmationAge. A confirmation is older at a follower than at its relay, by up to the interval
+// between two answers, and one answer of each may be lost.
 const confirmWaitPercent = 20
 
-// confirmations are what was learnt of the age of the rows that this instance knows.
+// confirmations holds the confirmations that were received and not applied yet.
 type confirmations struct {
-	// readCount counts the answers of the platform.
+	// readCount is the total number of answers of the platform.
 	readCount   int
 	reads       []freshness.Read
 	peerReports []freshness.PeerReport
 }
 
-// ConfirmationAge returns how long ago the configuration in force was known to be the newest.
+// ConfirmationAge returns the time since the configuration in force was last confirmed to be the newest,
+// or freshness.Unknown. It is safe for concurrent use.
 func (c *Control) ConfirmationAge() time.Duration {
 	return c.freshness.Age(c.settings.Timer.Elapsed())
 }
 
-// needsConfirmation says whether the age of the configuration matters.
+// needsConfirmation reports whether the configuration has to be confirmed regularly.
 func (c *Control) needsConfirmation() bool {
 	return c.settings.MaxConfirmationAge > 0 && !c.View().Accounts.IsEmpty()
 }
 
-// behindFraction is the part of the bound on the age of knowledge from which on look-ups name other instances, so
-// that callers have left before requests are refused.
+// behindFraction is the fraction of MaxConfirmationAge above which look-ups prefer other instances, so that
+// callers have switched to them before requests are refused.
 const behindFraction = 0.6
 
-// isBehind says whether this instance may not know the newest configuration.
+// isBehind reports whether this instance may lack the newest configuration.
 func (c *Control) isBehind() bool {
 	return c.needsConfirmation() && float64(c.ConfirmationAge()) > behindFraction*float64(c.settings.MaxConfirmationAge)
 }
 
-// recordRead notes an answer of the platform, of which the rows were taken in.
+// recordRead records an answer of the platform whose rows have been applied.
 func (c *Control) recordRead(m readResult) {
 	if m.table != lovageyard.TableOrders {
 		return
@@ -56,19 +57,20 @@
 	})
 }
 
-// recordConfirmation notes what a peer has told of its knowledge, if all that it knew was taken in.
-func (c *Control) recordConfirmation(w *wire.Confirmation, askedAt time.Duration) {
+// recordConfirmation records a peer's confirmation, if all changes that the peer had are applied here.
+func (c *Control) recordConfirmation(w *wire.Confirmation, requestedAt time.Duration) {
 	if w == nil || c.state.Cursor(lovageyard.TableOrders) < w.GetVersion() {
 		return
 	}
 	c.confirmations.peerReports = append(c.confirmations.peerReports, freshness.PeerReport{
-		RequestedAt: askedAt,
+		RequestedAt: requestedAt,
 		ReplyDelay:  time.Duration(w.GetHeldMs()) * time.Millisecond,
 		Age:         time.Duration(w.GetAgeMs()) * time.Millisecond,
 	})
 }
 
-// applyConfirmations takes in what was noted, now that the rows are in force, and tells those who wait for it.
+// applyConfirmations applies the recorded confirmations, now that their rows are in force, and answers
+// the peers that wait for a confirmation.
 func (c *Control) applyConfirmations() {
 	pending := c.confirmations
 	c.confirmations.reads, c.confirmations.peerReports = nil, nil
@@ -83,9 +85,9 @@
 	}
 }
 
-// confirmation returns what a peer is told of the knowledge here, or nil if it was never confirmed; the peer's
-// call came at a moment. Spans are rounded so that the peer takes the knowledge for older.
-func (c *Control) confirmation(arrivedAt time.Duration) *wire.Confirmation {
+// confirmation returns the confirmation to send in reply to a call that was received at a time, or nil if the
+// configuration was never confirmed. Durations are rounded so that the peer overestimates its age.
+func (c *Control) confirmation(receivedAt time.Duration) *wire.Confirmation {
 	now := c.settings.Timer.Elapsed()
 	age := c.freshness.Age(now)
 	if age == freshness.Unknown {
@@ -94,6 +96,6 @@
 	return &wire.Confirmation{
 		Version: c.state.LastChange(lovageyard.TableOrders),
 		AgeMs:   (age + time.Millisecond - 1).Milliseconds(),
-		HeldMs:  (now - arrivedAt).Milliseconds(),
+		HeldMs:  (now - receivedAt).Milliseconds(),
 	}
 }
--- a/fleet/confirm_test.go
+++ b/fleet/confirm_test.go
@@ -16,7 +16,7 @@
 	"lovageyard.example/lovageyard/platform/fake"
 )
 
-// maxConfirmationAge is the bound on the age of knowledge in the tests.
+// maxConfirmationAge is the limit on the confirmation age in the tests.
 const maxConfirmationAge = 5 * time.Second
 
 // putAccounts writes a configuration with a client account.
@@ -24,7 +24,7 @@
 	g.store.PutConfiguration(lovageyard.Configuration{Version: version, Accounts: []lovageyard.Account{{Name: "a"}}})
 }
 
-// startConfirming starts an instance that keeps its knowledge young.
+// startConfirming starts an instance that confirms its configuration regularly.
 func (g *group) startConfirming(name, address string, seeds ...string) *fleet.Control {
 	client := platform.NewStore(address, discardLogger())
 	s := g.settings(name, 1, client, client, seeds...)
@@ -32,14 +32,14 @@
 	return g.startWith(s)
 }
 
-// untilConfirmedSince waits until an instance's knowledge is younger than a moment.
+// untilConfirmedSince waits until an instance's configuration was confirmed after a time.
 func (g *group) untilConfirmedSince(control *fleet.Control, since time.Time) {
 	g.c.Helper()
 	g.until("the configuration is confirmed", func() bool { return control.ConfirmationAge() < time.Since(since) })
 }
 
-// The configuration is confirmed again and again, also at instances that hear of it from others only, while
-// only other tables change.
+// The configuration must be confirmed regularly while only other tables change, also at instances that
+// receive it only from peers.
 func TestConfirmationAgeStaysLow(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
@@ -56,7 +56,7 @@
 	}
 }
 
-// Without word of the platform the knowledge grows old, whatever peers say that have none either.
+// During an outage of the platform, peers that can't reach it must not confirm each other's configuration.
 func TestConfirmationAgeGrowsDuringAnOutage(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
@@ -67,7 +67,7 @@
 	g.untilConfirmedSince(second, time.Now())
 	g.store.SetTrouble(fake.Trouble{Status: 503})
 	for _, control := range []*fleet.Control{first, second} {
-		g.until("old knowledge", func() bool { return control.ConfirmationAge() > time.Second })
+		g.until("an old confirmation", func() bool { return control.ConfirmationAge() > time.Second })
 	}
 	g.store.SetTrouble(fake.Trouble{})
 	back := time.Now()
@@ -76,7 +76,7 @@
 	}
 }
 
-// An instance that can't confirm its configuration says so to its peers, and when it can again.
+// An instance that can't confirm its configuration reports that to its peers.
 func TestInstanceReportsThatItMayBeBehind(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
@@ -101,7 +101,7 @@
 	g.c.Assert(isBehind("entry-0"), qt.IsFalse)
 }
 
-// An instance that starts from a peer's rows serves nobody by them until they are confirmed.
+// Rows that an instance receives from a peer when it starts do not count as confirmed.
 func TestRowsFromAPeerDoNotConfirmTheConfiguration(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
@@ -118,7 +118,7 @@
 	g.c.Assert(second.ConfirmationAge(), qt.Equals, freshness.Unknown)
 }
 
-// unconfirmed is a way to peers of an older version, which tell nothing of the age of their knowledge.
+// unconfirmed removes confirmations from replies, like peers of an older version.
 type unconfirmed struct {
 	fleet.Peers
 }
@@ -131,7 +131,7 @@
 	return reply, err
 }
 
-// Word of a configuration that could not be taken in confirms nothing.
+// A confirmation of changes that were not received must be ignored.
 func TestConfirmationOfMissingRowsIsIgnored(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
@@ -143,12 +143,12 @@
 	s.Peers = withoutChanges{s.Peers, answers}
 	second := g.startWith(s)
 	defer g.stop("entry-1")
-	// An answer is taken in before the next question is asked.
+	// An answer is applied before the next call.
 	g.until("some answers confirm a configuration", func() bool { return answers.Load() > 4 })
 	g.c.Assert(second.ConfirmationAge(), qt.Equals, freshness.Unknown)
 }
 
-// withoutChanges is a way to peers on which rows are lost.
+// withoutChanges removes changes from replies.
 type withoutChanges struct {
 	fleet.Peers
 	// confirmed counts the answers that confirm a configuration.
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -22,23 +22,23 @@
 	"lovageyard.example/lovageyard/peer/wire"
 )
 
-// Periods and limits of the control loop.
+// Intervals and limits of the control loop.
 const (
 	tickInterval = time.Second
-	// suspectTimeout is how long a peer may not have spoken before look-ups stop naming it; operators
-	// allow 6 s and more until a dead one is named no more.
+	// suspectTimeout is the time without a heartbeat after which a peer is left out of look-ups;
+	// operators allow at least 6 s until a crashed instance is no longer returned.
 	suspectTimeout = 4 * time.Second
 	inboxSize      = 256
-	// startCheckInterval is the pause after which an instance that has just started asks a peer for
-	// the rows that the platform has not given it: the platform answers in about 4 ms, and
-	// 60 times as slowly on a bad day. Until it has them, the instance refuses requests.
+	// startCheckInterval is how often an instance that has just started checks whether it has all
+	// tables, and requests missing ones from peers. The platform answers in about 4 ms, and up to 60
+	// times as slowly under load; the instance refuses requests until it has all tables.
 	startCheckInterval = 250 * time.Millisecond
-	// tableRequestInterval is the least pause between such questions: in a large fleet that starts at
-	// once the platform may be sending long tables to all, and peers would send them again.
+	// tableRequestInterval is the least interval between such requests: when a large fleet starts, the
+	// platform may be sending long tables to all instances, and peers would send them a second time.
 	tableRequestInterval = time.Second
 )
 
-// Peers reaches other entry instances.
+// Peers calls other entry instances; see peer.Client.
 type Peers interface {
 	Share(ctx context.Context, address string, r *wire.ShareRequest) (*wire.ShareReply, error)
 }
@@ -48,13 +48,14 @@
 	Transact(ctx context.Context, t lovageyard.Transaction) (int64, error)
 }
 
-// Observer is told of each new view.
+// Observer is notified of each new view, from the goroutine of the loop. SetInstances gets the names of
+// all instances that may be running.
 type Observer interface {
 	SetCatalog(view *catalog.Snapshot, now time.Time)
 	SetInstances(names []string, now time.Time)
 }
 
-// Settings are what a Control is made of.
+// Settings holds the dependencies and parameters of a Control.
 type Settings struct {
 	Self      lovageyard.EntryInstance
 	Feed      lovageyard.Feed
@@ -62,16 +63,17 @@
 	Decoder   lovageyard.Decoder
 	Peers     Peers
 	Observer  Observer
-	// Quarantine is what instances tell each other of servers that ended.
+	// Quarantine holds the crash reports that instances exchange.
 	Quarantine Quarantine
 	Timer      lovageyard.Timer
 	Logger     *logrus.Logger
 	Metrics    *meter.Set
-	// Seeds are addresses of peers to ask before any other is known.
+	// Seeds holds addresses of peers to contact while no other peer is known.
 	Seeds []string
-	Seed  uint64
-	// MaxConfirmationAge is the age that the knowledge of the configuration should stay well below while there
-	// are client accounts; 0 means that its age does not matter.
+	// Seed seeds the random choice of peers.
+	Seed uint64
+	// MaxConfirmationAge is the limit that ConfirmationAge should stay well below while there are client
+	// accounts; 0 means no limit.
 	MaxConfirmationAge time.Duration
 }
 
@@ -80,58 +82,58 @@
 	settings Settings
 	inbox    *inbox.Inbox[*Control]
 	view     atomic.Pointer[catalog.View]
-	// watchesPlatform says that this instance watches the platform itself.
+	// watchesPlatform is set while this instance watches the platform itself.
 	watchesPlatform atomic.Bool
-	// isRelay says that others may rely on this instance to watch the platform, and ordersLost that the table of
-	// orders can't be read.
+	// isRelay is set while other instances may rely on this one to watch the platform, and
+	// ordersUnreadable while the table of orders can't be read.
 	isRelay          atomic.Bool
 	ordersUnreadable atomic.Bool
-	// startedAt is when this instance started.
+	// startedAt is when the Control was created.
 	startedAt time.Time
 	watches   pendingWatches
 	freshness freshness.Tracker
 
-	// All below belongs to the loop's goroutine.
+	// The fields below belong to the loop's goroutine.
 	self    instance.Member
 	members *instance.Table
 	state   *catalog.State
 	random  *rand.Rand
 	seeds   []string
 	leaving bool
-	// shutdownAt is when this instance ends, once it leaves.
+	// shutdownAt is when this instance exits, if it is leaving.
 	shutdownAt time.Time
 	refusing   bool
 	dirty      bool
-	// tablesRequestedAt is when peers were last asked for whole tables.
+	// tablesRequestedAt is when whole tables were last requested from peers.
 	tablesRequestedAt time.Time
 	// relays holds the relays that this instance follows, by address.
 	relays map[string]*relayState
-	// waiters are peers' calls that wait for rows.
+	// waiters holds the calls of peers that wait for rows.
 	waiters []waiter
 	encoder peer.Encoder
-	// directIncarnations is the life in which an instance last spoke here itself.
+	// directIncarnations holds the incarnation from which the last direct message of each instance came.
 	directIncarnations map[string]int64
-	// firstReadAt is when the first instance heard of the newest change of each table.
+	// firstReadAt is when the first instance read the newest change of each table from the platform.
 	firstReadAt map[string]time.Time
-	// needsFullValues holds the tables of which a peer's rows needed a base that is not known here.
+	// needsFullValues holds the tables for which a peer sent a delta from an unknown base.
 	needsFullValues map[string]bool
-	// failingSince notes since when a table can't be read.
+	// failingSince is since when a table can't be read, for tables that can't.
 	failingSince map[string]time.Time
-	// crashReportPending says that there is news of crashes which could not be told yet; toldAt is when peers were
-	// told last, and comparedAt when what is known was compared with a peer's.
+	// crashReportPending is set if crash reports wait for the end of the current pause.
+	// crashesReportedAt is when reports were last sent, and digestSentAt when a digest was.
 	crashReportPending bool
 	crashesReportedAt  time.Time
 	digestSentAt       time.Time
-	// silentSince is when the row of an instance that has never spoken was first seen.
+	// silentSince is when the row of an instance that is not a live member was first seen.
 	silentSince map[string]time.Time
-	// confirmations are to be taken in once the present rows are in force.
+	// confirmations are applied once the rows read before them are in force.
 	confirmations confirmations
 }
 
-// message is a typed message to the loop.
+// message is a message to the loop's goroutine.
 type message = inbox.Message[*Control]
 
-// New returns a Control that Start sets going.
+// New returns a Control; Start starts its loop.
 func New(s Settings) *Control {
 	now := s.Timer.Now()
 	self := instance.Member{EntryInstance: s.Self}
@@ -158,7 +160,7 @@
 	return c
 }
 
-// Start sets the loop and the watches of the platform's tables going.
+// Start starts the loop, the watches of the platform's tables and the registration of this instance.
 func (c *Control) Start() {
 	ticks := c.settings.Timer.Subscribe(tickInterval)
 	c.inbox.Start(func() { c.run(ticks) })
@@ -169,12 +171,12 @@
 	c.inbox.Go(c.readQuarantineRows)
 }
 
-// Close ends the loop and all calls, and waits for them.
+// Close stops the loop, cancels all calls and waits for them to return.
 func (c *Control) Close() {
 	c.inbox.Close()
 }
 
-// View returns the view in force.
+// View returns the current view. It is safe for concurrent use.
 func (c *Control) View() *catalog.View {
 	return c.view.Load()
 }
@@ -226,7 +228,7 @@
 	c.removeStaleRows(now)
 }
 
-// forgetRemovedMembers drops what is kept of instances that the table of members has forgotten.
+// forgetRemovedMembers drops the state of instances that the table of members has removed.
 func (c *Control) forgetRemovedMembers() {
 	maps.DeleteFunc(c.directIncarnations, func(name string, _ int64) bool {
 		_, known := c.members.Find(name)
@@ -234,7 +236,7 @@
 	})
 }
 
-// heartbeat tells anew that this instance is alive.
+// heartbeat increments this instance's heartbeat and updates its description of itself.
 func (c *Control) heartbeat(now time.Time) {
 	c.self.Heartbeat++
 	if behind := c.isBehind(); behind != c.self.Stale {
@@ -245,7 +247,7 @@
 	c.members.Observe(c.self, now)
 }
 
-// publish makes a new view for traffic.
+// publish stores a new view and notifies the observer.
 func (c *Control) publish() {
 	c.dirty = false
 	view := &catalog.View{
@@ -266,8 +268,8 @@
 	}
 }
 
-// possibleInstances returns the names of all instances that may be at work, those included that
-// this one can't hear: an instance that is cut off must not take more than its share.
+// possibleInstances returns the names of all instances that may be running, including unreachable ones:
+// an instance that is partitioned from the others must not use more than its share of limits.
 func (c *Control) possibleInstances(view *catalog.View) []string {
 	found := map[string]bool{c.self.Name: true}
 	for _, m := range view.Live {
@@ -279,7 +281,7 @@
 	return sortedKeys(found)
 }
 
-// logChange writes a line for each change of what this instance believes.
+// logChange logs the differences between two views.
 func (c *Control) logChange(before, after *catalog.View) {
 	if before.Version() != after.Version() {
 		c.settings.Logger.WithFields(logrus.Fields{
@@ -291,8 +293,8 @@
 	if len(before.Drained) != len(after.Drained) {
 		c.settings.Logger.WithField("failure-domains", sortedKeys(after.Drained)).Info("drained failure domains changed")
 	}
-	// Word of other regions comes late and by chance, and look-ups use it only if the own
-	// region has no live instance: their number is enough.
+	// Heartbeats from other regions arrive late and irregularly, and look-ups use those regions only if
+	// the own one has no live instance. So only the total is logged for them.
 	if joined, left := difference(c.inRegion(before.Live), c.inRegion(after.Live)); len(joined)+len(left) > 0 {
 		c.settings.Logger.WithFields(logrus.Fields{
 			"live":   len(after.Live),
@@ -306,7 +308,7 @@
 	}
 }
 
-// inRegion returns the instances that are in the own region.
+// inRegion returns the instances in this instance's region.
 func (c *Control) inRegion(instances []lovageyard.EntryInstance) []lovageyard.EntryInstance {
 	var own []lovageyard.EntryInstance
 	for _, i := range instances {
@@ -317,8 +319,8 @@
 	return own
 }
 
-// difference returns the names that only the second and only the first list has; both are
-// in the order of their names.
+// difference returns the names that are only in the second list and those that are only in the first;
+// both lists must be ordered by name.
 func difference(before, after []lovageyard.EntryInstance) (joined, left []string) {
 	for len(before)+len(after) > 0 {
 		switch {
@@ -335,10 +337,10 @@
 	return joined, left
 }
 
-// Leave takes this instance out of look-ups and tells its peers; it goes on serving what it can
-// answer before it ends.
-func (c *Control) Leave(endsAt time.Time) {
-	c.inbox.Post(leave{shutdownAt: endsAt})
+// Leave removes this instance from look-ups and notifies its peers. The instance continues to serve
+// requests that it can answer before shutdownAt.
+func (c *Control) Leave(shutdownAt time.Time) {
+	c.inbox.Post(leave{shutdownAt: shutdownAt})
 }
 
 type leave struct {
@@ -354,7 +356,7 @@
 	c.notifyPeers()
 }
 
-// RefuseRequests makes this instance refuse new requests.
+// RefuseRequests makes this instance refuse all new requests from now on.
 func (c *Control) RefuseRequests() {
 	c.inbox.Post(refuse{})
 }
@@ -366,7 +368,7 @@
 	c.dirty = true
 }
 
-// SetSeeds changes the peers to ask before any other is known.
+// SetSeeds changes the addresses of peers to contact while no other peer is known.
 func (c *Control) SetSeeds(addresses []string) {
 	c.inbox.Post(seeds(addresses))
 }
@@ -377,15 +379,15 @@
 	c.seeds = m
 }
 
-// register writes this instance's row, so that new instances find it, unless an earlier
-// life of it has left the same row.
+// register writes this instance's row, so that new instances find it, unless an earlier incarnation has
+// left the same row.
 func (c *Control) register() {
 	self := c.settings.Self
-	// A row outlives the life that wrote it.
+	// The row remains after this incarnation, so it must not contain it.
 	self.Incarnation = 0
 	value, err := json.Marshal(self)
 	if err != nil {
-		c.settings.Logger.WithError(err).Error("this instance can't be registered")
+		c.settings.Logger.WithError(err).Error("failed to encode this instance's row")
 		return
 	}
 	write := lovageyard.Write{Table: lovageyard.TableInstances, Key: self.Name, Value: value}
@@ -398,20 +400,20 @@
 		if view.Instances[self.Name] == self {
 			return
 		}
-		// A write of which the outcome is not known may be made again.
+		// The write is idempotent, so it may be repeated if its outcome is unknown.
 		c.settings.Metrics.Count(meter.PlatformWrites)
 		_, err := c.settings.Registrar.Transact(c.inbox.Context(), lovageyard.Transaction{Writes: []lovageyard.Write{write}})
 		if err == nil {
 			return
 		}
 		if attempt == 0 {
-			c.settings.Logger.WithError(err).Warn("this instance is not registered yet")
+			c.settings.Logger.WithError(err).Warn("failed to register this instance; retrying")
 		}
 		c.sleep(registerRetryInterval)
 	}
 }
 
-// sleep waits for a span, or less if the loop ends.
+// sleep waits for a duration or until the loop stops.
 func (c *Control) sleep(d time.Duration) {
 	after := c.settings.Timer.After(d)
 	defer after.Close()
@@ -426,7 +428,7 @@
 	return errors.As(err, &conflict)
 }
 
-// sortedKeys returns the members of a set in order.
+// sortedKeys returns the elements of a set in ascending order.
 func sortedKeys(set map[string]bool) []string {
 	return slices.Sorted(maps.Keys(set))
 }
--- a/fleet/crash.go
+++ b/fleet/crash.go
@@ -10,45 +10,49 @@
 	"lovageyard.example/lovageyard/quarantine"
 )
 
-// Word of servers that ended under requests passes between instances in two ways: who learns of one
-// tells a few peers at once, who do the same; and each exchange compares what is known, which
-// reaches instances that were away. A request that ends servers comes again at any instance
-// within a second.
+// Reports of servers that crashed while they had requests spread in two ways. An instance that receives
+// a new report sends it immediately to a few random peers, which do the same. In addition, regular
+// exchanges compare digests, which reaches instances that were unreachable. Reports have to be fast:
+// a request that crashes servers is sent again, to any instance, within a second.
 
 const (
-	// crashFanOut is how many random peers are told at once: 1,400 instances know after six steps.
+	// crashFanOut is the number of random peers that a new report is sent to: 1,400 instances have it
+	// after six hops.
 	crashFanOut = 4
-	// crashReportInterval is the pause between two times that peers are told, in which further news gathers.
+	// crashReportInterval is the least interval between two reports; further crashes are batched.
 	crashReportInterval = 100 * time.Millisecond
-	// digestInterval is how often what is known is compared while news comes; at other times each
-	// second. All that is known crosses if it differs, as it does while news is on its way.
+	// digestInterval is the interval of digests within quietPeriod after a report; at other times a
+	// digest is sent each second. If digests differ, as they do while a report is spreading, all
+	// crashes are sent.
 	digestInterval = 3 * time.Second
 	quietPeriod    = time.Second
 )
 
-// Quarantine remembers which requests were at servers that ended.
+// Quarantine records which requests were at servers that crashed; see quarantine.Monitor.
 type Quarantine interface {
-	// Updates delivers when there is something to tell.
+	// Updates receives a value when there is something new to report to peers.
 	Updates() <-chan struct{}
-	// Merge takes in what a peer tells, and says whether any of it was news.
+	// Merge applies a peer's report and reports whether any of it was new.
 	Merge(r quarantine.Report) bool
-	// Report returns all that others should know, and ReportSince what is new since a moment.
+	// Report returns all crashes and clearances, and ReportSince those that are new since a time.
 	Report() quarantine.Report
 	ReportSince(since time.Time) quarantine.Report
-	// Digest returns a number that is the same for instances that know the same.
+	// Digest returns a hash of the report; it is equal for instances with the same reports.
 	Digest() uint64
-	// Tick forgets what is too old to count.
+	// Tick removes crashes and clearances that have expired.
 	Tick(now time.Time)
-	// Evaluate returns what is thought of a request.
+	// Evaluate returns the decision on a request, given by its fingerprint.
 	Evaluate(request uint64) quarantine.Decision
-	// NewlyQuarantined returns the requests that are held since the last call by what this instance saw itself.
+	// NewlyQuarantined returns the requests that were quarantined since the last call because of crashes
+	// that this instance observed itself.
 	NewlyQuarantined() []uint64
-	// ReportFor returns the crashes under one request.
+	// ReportFor returns the crashes of servers that had one request.
 	ReportFor(request uint64) quarantine.Report
 }
 
-// reportCrashes tells a few random peers what is new since the last time. News that comes soon after that
-// is told together: each request that fell with a server is news of its own.
+// reportCrashes sends a few random peers the crashes that are new since the last report. Crashes that
+// follow within crashReportInterval are batched, as each request that was lost with a server is a
+// separate update.
 func (c *Control) reportCrashes() {
 	if c.inbox.IsCalling(crashReportPause) {
 		c.crashReportPending = true
@@ -73,10 +77,10 @@
 	})
 }
 
-// crashReportPause is the name of the pause between two times that peers are told.
+// crashReportPause is the name of the call that waits for the end of crashReportInterval.
 const crashReportPause = "tell"
 
-// crashReportDue is the end of that pause.
+// crashReportDue is the message at the end of that interval.
 type crashReportDue struct{}
 
 func (crashReportDue) Apply(c *Control) {
@@ -85,7 +89,7 @@
 	}
 }
 
-// addDigest asks a peer for all that it knows of crashes if that differs.
+// addDigest adds the digest to a request, so that a peer with a different one replies with its crashes.
 func (c *Control) addDigest(r *wire.ShareRequest) {
 	now := c.settings.Timer.Now()
 	if now.Sub(c.crashesReportedAt) < quietPeriod && now.Sub(c.digestSentAt) < digestInterval {
@@ -95,7 +99,7 @@
 	r.CrashDigest = proto.Uint64(c.settings.Quarantine.Digest())
 }
 
-// applyCrashes takes in what a peer tells of crashes, and passes on what is new.
+// applyCrashes applies a peer's crash report, and sends it on if any of it is new.
 func (c *Control) applyCrashes(crashes []*wire.Crash, clearances []*wire.Clearance) {
 	if len(crashes)+len(clearances) == 0 {
 		return
@@ -105,7 +109,7 @@
 	}
 }
 
-// addCrashes adds to an answer what its asker may lack.
+// addCrashes adds all crashes to a reply if the caller's digest differs.
 func (c *Control) addCrashes(r *wire.ShareRequest, reply *wire.ShareReply) {
 	if r.CrashDigest != nil && r.GetCrashDigest() != c.settings.Quarantine.Digest() {
 		reply.Crashes, reply.Clearances = toCrashes(c.settings.Quarantine.Report())
@@ -160,7 +164,7 @@
 	return out
 }
 
-// toAge returns an age of a message, which can't be below 0.
+// toAge returns the age in a message; negative values become 0.
 func toAge(milliseconds int64) time.Duration {
 	return max(0, time.Duration(milliseconds)*time.Millisecond)
 }
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -17,20 +17,20 @@
 	"lovageyard.example/lovageyard/quarantine"
 )
 
-// crashServer lets an instance see a server end under a request.
+// crashServer makes an instance observe the crash of a server that had a request.
 func crashServer(w *quarantine.Monitor, server string, request uint64) {
 	s := lovageyard.BackendServer{Name: server, Service: "desk"}
 	w.RecordLoss(s, request, time.Now())
 	w.RecordCrash(s)
 }
 
-// Each of three instances sees one server end under a request. All of a fleet learn that it is held, one
-// that starts later too, and that another one was answered well.
+// Each of three instances observes one server crash with the same request. All instances must quarantine
+// the request, including one that starts later, and must learn that another request was answered.
 func TestCrashReportsReachAllInstances(t *testing.T) {
-	const count, deadly, popular = 14, 1, 2
+	const count, poison, popular = 14, 1, 2
 	g := newGroup(t)
 	client := platform.NewStore(g.address, discardLogger())
-	var watches []*quarantine.Monitor
+	var monitors []*quarantine.Monitor
 	start := func(n int) {
 		s := g.settings(fmt.Sprint("entry-", n), 1, client, client)
 		w := quarantine.NewMonitor(quarantine.Settings{Prober: neverExited{}, Timer: s.Timer, Logger: s.Logger, Metrics: s.Metrics})
@@ -40,44 +40,44 @@
 			g.stop(s.Self.Name)
 			w.Close()
 		})
-		watches = append(watches, w)
+		monitors = append(monitors, w)
 		g.until("readiness", func() bool { return control.View().Ready })
 	}
-	untilAll := func(what string, holds func(w *quarantine.Monitor) bool) {
-		for n, w := range watches {
-			g.until(fmt.Sprintf("%s at instance %d", what, n), func() bool { return holds(w) })
+	untilAll := func(what string, condition func(w *quarantine.Monitor) bool) {
+		for n, w := range monitors {
+			g.until(fmt.Sprintf("%s at instance %d", what, n), func() bool { return condition(w) })
 		}
 	}
 	for n := range count {
 		start(n)
 	}
 	for n := range 3 {
-		w := watches[4*n]
-		// It is sent on only once the server before has ended.
-		g.until("word of the end before", func() bool { return n == 0 || w.Evaluate(deadly).Suspect })
-		crashServer(w, fmt.Sprint("server-", n), deadly)
+		w := monitors[4*n]
+		// The request is retried only after the previous server has crashed.
+		g.until("the report of the previous crash", func() bool { return n == 0 || w.Evaluate(poison).Suspect })
+		crashServer(w, fmt.Sprint("server-", n), poison)
 	}
 	for n := range 2 {
-		crashServer(watches[5*n], fmt.Sprint("other-", n), popular)
+		crashServer(monitors[5*n], fmt.Sprint("other-", n), popular)
 	}
-	untilAll("the deadly request is held", func(w *quarantine.Monitor) bool { return w.Evaluate(deadly).Quarantined })
+	untilAll("the poison request is quarantined", func(w *quarantine.Monitor) bool { return w.Evaluate(poison).Quarantined })
 	untilAll("the popular request is suspect", func(w *quarantine.Monitor) bool { return w.Evaluate(popular).Suspect })
-	// An answer is told only by an instance that knows of more than one end.
-	untilAll("all ends are known", func(w *quarantine.Monitor) bool { return w.Digest() == watches[0].Digest() })
-	watches[7].RecordSuccess(popular)
+	// An instance reports an answered request only if it knows of more than one crash.
+	untilAll("all crashes are known", func(w *quarantine.Monitor) bool { return w.Digest() == monitors[0].Digest() })
+	monitors[7].RecordSuccess(popular)
 	untilAll("the popular request is cleared", func(w *quarantine.Monitor) bool { return !w.Evaluate(popular).Suspect })
 	start(count)
-	untilAll("the deadly request is held", func(w *quarantine.Monitor) bool { return w.Evaluate(deadly).Quarantined })
+	untilAll("the poison request is quarantined", func(w *quarantine.Monitor) bool { return w.Evaluate(poison).Quarantined })
 	untilAll("the popular request is cleared", func(w *quarantine.Monitor) bool { return !w.Evaluate(popular).Suspect })
-	g.until("all know the same", func() bool { return watches[0].Digest() == watches[count].Digest() })
+	g.until("equal digests", func() bool { return monitors[0].Digest() == monitors[count].Digest() })
 }
 
-// neverExited finds out nothing of servers.
+// neverExited is a prober that never finds that a server has exited.
 type neverExited struct{}
 
 func (neverExited) RefusesConnections(context.Context, lovageyard.BackendServer) bool { return false }
 
-// countingPeers counts the bytes of what instances tell each other of ends.
+// countingPeers counts the bytes of crash reports that instances exchange.
 type countingPeers struct {
 	fleet.Peers
 	bytes *atomic.Int64
@@ -90,16 +90,16 @@
 	return reply, err
 }
 
-// Servers end one after the other, each with three dozen requests that several instances had sent there. An
-// instance is to spend 5 KB a second on control: word of one end, of 0.5 KB, may take no more than that.
-// It took 30 KB a second on a day on which 29 servers ended, as all news of three seconds was sent with
-// each exchange, and again for each request that fell.
+// Servers crash one after the other, each with three dozen requests from several instances. Control traffic
+// is limited to 5 KB a second per instance, so the report of one crash, of 0.5 KB, may take no more than
+// that in all. It took 30 KB a second when 29 servers crashed on one day: each exchange, and each lost
+// request, sent all reports of the last three seconds.
 func TestCrashReportsUseLittleBandwidth(t *testing.T) {
-	const count, ends, requests, most = 8, 6, 36, 5 << 10
+	const count, crashes, requests, most = 8, 6, 36, 5 << 10
 	g := newGroup(t)
 	client := platform.NewStore(g.address, discardLogger())
 	var bytes atomic.Int64
-	var watches []*quarantine.Monitor
+	var monitors []*quarantine.Monitor
 	for n := range count {
 		s := g.settings(fmt.Sprint("entry-", n), 1, client, client)
 		s.Peers = countingPeers{s.Peers, &bytes}
@@ -110,19 +110,19 @@
 			g.stop(s.Self.Name)
 			w.Close()
 		})
-		watches = append(watches, w)
+		monitors = append(monitors, w)
 		g.until("readiness", func() bool { return control.View().Ready })
 	}
-	for end := range ends {
+	for crash := range crashes {
 		for r := range requests {
-			crashServer(watches[r%count], fmt.Sprint("server-", end), uint64(1000*end+r+1))
+			crashServer(monitors[r%count], fmt.Sprint("server-", crash), uint64(1000*crash+r+1))
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
-	for n, w := range watches {
-		g.until(fmt.Sprint("all is known at ", n), func() bool { return w.Digest() == watches[0].Digest() && len(w.Report().Crashes) == ends })
+	for n, w := range monitors {
+		g.until(fmt.Sprint("all crashes are known at ", n), func() bool { return w.Digest() == monitors[0].Digest() && len(w.Report().Crashes) == crashes })
 	}
-	each := bytes.Load() / count / ends
-	t.Logf("%d bytes an instance and end", each)
-	g.c.Assert(each <= most, qt.IsTrue, qt.Commentf("%d bytes an instance and end", each))
+	each := bytes.Load() / count / crashes
+	t.Logf("%d bytes per instance and crash", each)
+	g.c.Assert(each <= most, qt.IsTrue, qt.Commentf("%d bytes per instance and crash", each))
 }
--- a/fleet/feed.go
+++ b/fleet/feed.go
@@ -12,38 +12,39 @@
 	"lovageyard.example/lovageyard/meter"
 )
 
-// Periods of the calls to the platform.
+// Intervals of the calls to the platform.
 const (
-	// watchWait is how long a call waits for changes of orders and servers. A platform that falls silent
-	// for a moment may never answer the calls that waited then, which are given up storeTimeout later;
-	// both together are within the time that operators allow after an outage.
+	// watchWait is how long a watch waits for changes of orders or servers. After a short outage the
+	// platform may never answer the watches that were pending; they time out storeTimeout after the
+	// wait. Wait and timeout together are within the time that operators allow after an outage.
 	watchWait = 2500 * time.Millisecond
-	// watchInstancesWait is the same for the table of instances, which only introduces them; the call is
-	// given up with those of the other tables.
+	// watchInstancesWait is the same for the table of instances, which is needed only to discover them.
+	// This watch is cancelled together with those of the other tables.
 	watchInstancesWait = 20 * time.Second
-	// coalesceInterval is the pause between two calls of one table, in which further changes gather;
-	// it is well inside the bounds on leaving servers and on configurations, of 2 s and more.
+	// coalesceInterval is the pause between two watches of a table, in which further changes are batched.
+	// It is well below the time limits for leaving servers and for configurations, of 2 s and more.
 	coalesceInterval = 200 * time.Millisecond
-	// coalesceIntervalInstances is the same for the table of instances, which only introduces them.
+	// coalesceIntervalInstances is the same for the table of instances.
 	coalesceIntervalInstances = 3 * time.Second
-	// coalesceIntervalAtStart is the same for all tables in the first startFor of an instance, when
-	// all servers may be registering and it is not known yet who relays.
+	// coalesceIntervalAtStart is the same for all tables during startPeriod, when all servers may be
+	// registering and the relays are not known yet.
 	coalesceIntervalAtStart = 2500 * time.Millisecond
 	startPeriod             = 4 * time.Second
-	// relayCheckInterval is how often an instance that follows relays looks whether it still does.
+	// relayCheckInterval is how often an instance that follows relays checks whether it has to watch the
+	// platform itself.
 	relayCheckInterval = 200 * time.Millisecond
-	// Pauses after calls that failed; they double from the first to the last. Instances that do not relay
-	// make fewer: they hear of the platform's return from their relays.
+	// Exponential backoff after failed calls. Instances that are not relays back off longer, as they learn
+	// from their relays that the platform has recovered.
 	minBackoff         = 200 * time.Millisecond
 	maxBackoff         = 800 * time.Millisecond
 	maxBackoffNonRelay = 3200 * time.Millisecond
-	// registerRetryInterval is the pause between attempts to write this instance's row.
+	// registerRetryInterval is the interval between attempts to write this instance's row.
 	registerRetryInterval = time.Second
-	// rowRemovalTimeout is the silence after which another instance's row is removed.
+	// rowRemovalTimeout is how long an instance has to be silent before its row is removed.
 	rowRemovalTimeout = 20 * time.Second
 )
 
-// followTable keeps one table up to date until the loop ends.
+// followTable reads and watches one table until the loop stops.
 func (c *Control) followTable(table string) {
 	cursor := int64(0)
 	pause := minBackoff
@@ -54,32 +55,32 @@
 			continue
 		}
 		if cursor > 0 {
-			// Relays may have told of changes since.
+			// Relays may have sent newer changes.
 			cursor = max(cursor, c.View().Cursors[table])
 		}
-		news := c.readTable(table, cursor, wait)
-		if errors.Is(news.err, errWatchCancelled) {
+		result := c.readTable(table, cursor, wait)
+		if errors.Is(result.err, errWatchCancelled) {
 			wait = 0
 			continue
 		}
-		news.applied = make(chan int64, 1)
-		if !c.inbox.Post(news) {
+		result.applied = make(chan int64, 1)
+		if !c.inbox.Post(result) {
 			return
 		}
 		select {
-		case cursor = <-news.applied:
+		case cursor = <-result.applied:
 		case <-c.inbox.Context().Done():
 			return
 		}
-		if news.err == nil {
+		if result.err == nil {
 			pause = minBackoff
 			wait = c.watchWaitOf(table)
 			c.sleep(c.coalesceIntervalOf(table))
 			continue
 		}
-		// Short calls find the end of an outage soon.
+		// Calls that do not wait detect the end of an outage quickly.
 		wait = 0
-		if errors.Is(news.err, lovageyard.ErrHistoryLost) {
+		if errors.Is(result.err, lovageyard.ErrHistoryLost) {
 			cursor = 0
 			c.sleep(coalesceInterval)
 			continue
@@ -89,13 +90,13 @@
 	}
 }
 
-// isSuppressed says whether a table is not asked for while another one can't be read: one call shows as well as
-// three whether the platform answers again. Relays ask for each, as others rely on them.
+// isSuppressed reports whether a table is not read because orders can't be read: one table is enough to
+// detect the end of an outage. Relays read all tables, as others rely on them.
 func (c *Control) isSuppressed(table string) bool {
 	return table != lovageyard.TableOrders && c.ordersUnreadable.Load() && !c.isRelay.Load()
 }
 
-// backoffLimit returns the longest pause after calls that failed.
+// backoffLimit returns the maximum backoff after failed calls.
 func (c *Control) backoffLimit() time.Duration {
 	if c.isRelay.Load() {
 		return maxBackoff
@@ -103,7 +104,7 @@
 	return maxBackoffNonRelay
 }
 
-// watchWaitOf returns how long a call waits for changes of a table.
+// watchWaitOf returns how long a watch of a table waits for changes.
 func (c *Control) watchWaitOf(table string) time.Duration {
 	switch {
 	case table == lovageyard.TableInstances:
@@ -114,10 +115,10 @@
 	return watchWait
 }
 
-// errWatchCancelled reports a call that waited for changes and was given up as another call failed.
-var errWatchCancelled = errors.New("given up, as another call to the platform failed")
+// errWatchCancelled reports a pending watch that was cancelled because a call for another table failed.
+var errWatchCancelled = errors.New("watch cancelled: another call to the platform failed")
 
-// coalesceIntervalOf returns the pause between two calls of a table.
+// coalesceIntervalOf returns the pause between two watches of a table.
 func (c *Control) coalesceIntervalOf(table string) time.Duration {
 	switch {
 	case c.settings.Timer.Now().Sub(c.startedAt) < startPeriod:
@@ -128,7 +129,7 @@
 	return coalesceInterval
 }
 
-// readTable makes one call: the whole table if nothing is known, else its changes.
+// readTable makes one call to the platform. It lists the table if the cursor is 0, and watches it otherwise.
 func (c *Control) readTable(table string, cursor int64, wait time.Duration) readResult {
 	m := readResult{table: table, whole: cursor == 0, beganAt: c.settings.Timer.Elapsed()}
 	if m.whole {
@@ -140,7 +141,7 @@
 	return m
 }
 
-// watchTable asks for the changes of a table. Only calls that wait are given up with others.
+// watchTable calls the feed for the changes of a table. Only watches that wait are cancelled with others.
 func (c *Control) watchTable(table string, cursor int64, wait time.Duration) (lovageyard.Changes, error) {
 	if wait == 0 {
 		return c.settings.Feed.Watch(c.inbox.Context(), table, cursor, wait)
@@ -154,16 +155,16 @@
 	return changes, err
 }
 
-// readResult is the end of a call to the platform.
+// readResult is the result of a call to the platform.
 type readResult struct {
 	table   string
 	changes lovageyard.Changes
 	whole   bool
 	err     error
-	// beganAt and endedAt are when the call was made and answered; see lovageyard.Timer.
+	// beganAt and endedAt are when the call began and ended, as lovageyard.Timer's elapsed time.
 	beganAt time.Duration
 	endedAt time.Duration
-	// applied gets the version up to which the table is known.
+	// applied receives the cursor of the table after the result has been applied.
 	applied chan int64
 }
 
@@ -178,13 +179,13 @@
 	if !m.whole && c.hasNewRows(m.changes.Rows) {
 		c.recordChangeAge(m.table, 0, now)
 	}
-	var faults []catalog.InvalidRow
+	var invalid []catalog.InvalidRow
 	if m.whole {
-		faults = c.state.ApplyList(m.table, m.changes, now)
+		invalid = c.state.ApplyList(m.table, m.changes, now)
 	} else {
-		_, faults = c.state.ApplyChanges(m.table, m.changes, now)
+		_, invalid = c.state.ApplyChanges(m.table, m.changes, now)
 	}
-	c.logInvalidRows(faults)
+	c.logInvalidRows(invalid)
 	c.recordFeedSuccess(m.table, now)
 	c.recordRead(m)
 	if m.whole || len(m.changes.Rows) > 0 {
@@ -193,7 +194,7 @@
 	m.applied <- c.state.Cursor(m.table)
 }
 
-// recordFeedSuccess notes that a table was read.
+// recordFeedSuccess records that a table can be read, and logs the end of an outage.
 func (c *Control) recordFeedSuccess(table string, now time.Time) {
 	since, found := c.failingSince[table]
 	if !found {
@@ -224,15 +225,15 @@
 	c.settings.Logger.WithError(m.err).WithField("table", m.table).Warn("platform lost")
 }
 
-// isUnreadable says whether a table can't be read at present.
+// isUnreadable reports whether a table currently can't be read.
 func (c *Control) isUnreadable(table string) bool {
 	_, failing := c.failingSince[table]
 	return failing
 }
 
-// logInvalidRows tells of rows that are passed over; each version of a row is told once.
-func (c *Control) logInvalidRows(faults []catalog.InvalidRow) {
-	for _, f := range faults {
+// logInvalidRows counts and logs rows that could not be decoded; each version of a row is logged once.
+func (c *Control) logInvalidRows(invalid []catalog.InvalidRow) {
+	for _, f := range invalid {
 		field := "row"
 		var wrong *lovageyard.FieldError
 		if errors.As(f.Err, &wrong) && wrong.Field != "" {
@@ -245,12 +246,12 @@
 			"row-version": f.Row.Version,
 			"field":       field,
 			"reason":      f.Err.Error(),
-		}).Warn("a row is passed over")
+		}).Warn("ignoring an invalid row")
 	}
 }
 
-// removeStaleRows removes the rows of instances that have long been silent; the first of the
-// live instances does it for all.
+// removeStaleRows removes the rows of instances that have been silent for rowRemovalTimeout. Only the
+// first live instance, by name, does so.
 func (c *Control) removeStaleRows(now time.Time) {
 	live := c.members.Live()
 	if len(live) == 0 || live[0].Name != c.self.Name || len(c.failingSince) > 0 {
@@ -284,10 +285,10 @@
 			Writes:     []lovageyard.Write{{Table: r.Table, Key: r.Key, Delete: true}},
 		})
 		if err != nil && !isConflict(err) {
-			c.settings.Logger.WithError(err).WithField("instance", r.Key).Warn("a silent instance's row is not removed yet")
+			c.settings.Logger.WithError(err).WithField("instance", r.Key).Warn("failed to remove the row of a silent instance; it will be retried")
 			return nil
 		}
-		c.settings.Logger.WithField("instance", r.Key).Info("a silent instance's row was removed")
+		c.settings.Logger.WithField("instance", r.Key).Info("removed the row of a silent instance")
 		return nil
 	})
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -27,10 +27,10 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// waitTimeout bounds each wait; a wait ends as soon as its condition holds.
+// waitTimeout limits each wait; a wait ends as soon as its condition holds.
 const waitTimeout = 60 * time.Second
 
-// network carries exchanges between instances in one process, and can cut some off.
+// network connects instances in one process, and can partition some of them.
 type network struct {
 	mu        sync.Mutex
 	instances map[string]*fleet.Control
@@ -54,20 +54,20 @@
 	return target.Share(ctx, r)
 }
 
-// ignoringObserver ignores views.
+// ignoringObserver ignores all views.
 type ignoringObserver struct{}
 
 func (ignoringObserver) SetCatalog(*catalog.Snapshot, time.Time) {}
 func (ignoringObserver) SetInstances([]string, time.Time)        {}
 
-// group is a fleet of one failure domain on one stand-in store.
+// group is a fleet with one fake store, by default in one failure domain.
 type group struct {
 	c       *qt.C
 	store   *fake.Store
 	address string
 	network *network
 	clients map[string]*platform.Store
-	// domains are the failure domains of instances that are not in north-1.
+	// domains maps the names of instances that are not in north-1 to their failure domains.
 	domains map[string]string
 }
 
@@ -105,10 +105,10 @@
 	return f.Rows(ctx, table)
 }
 
-// start starts an instance; address is the store's, or one that nobody listens at.
-func (g *group) start(name string, life int64, address string, seeds ...string) *fleet.Control {
+// start starts an instance; address is the store's, or one without a listener.
+func (g *group) start(name string, incarnation int64, address string, seeds ...string) *fleet.Control {
 	client := platform.NewStore(address, discardLogger())
-	return g.startOn(name, life, client, client, seeds...)
+	return g.startOn(name, incarnation, client, client, seeds...)
 }
 
 func discardLogger() *logrus.Logger {
@@ -117,24 +117,24 @@
 	return logger
 }
 
-// startOn starts an instance that reads from a feed and writes through a registrar.
-func (g *group) startOn(name string, life int64, feed lovageyard.Feed, registrar fleet.Registrar, seeds ...string) *fleet.Control {
-	return g.startWith(g.settings(name, life, feed, registrar, seeds...))
+// startOn starts an instance with a feed and a registrar.
+func (g *group) startOn(name string, incarnation int64, feed lovageyard.Feed, registrar fleet.Registrar, seeds ...string) *fleet.Control {
+	return g.startWith(g.settings(name, incarnation, feed, registrar, seeds...))
 }
 
-// settings returns the settings of an instance on the network in memory.
-func (g *group) settings(name string, life int64, feed lovageyard.Feed, registrar fleet.Registrar, seeds ...string) fleet.Settings {
+// settings returns the settings of an instance on the in-memory network.
+func (g *group) settings(name string, incarnation int64, feed lovageyard.Feed, registrar fleet.Registrar, seeds ...string) fleet.Settings {
 	return fleet.Settings{
 		Self: lovageyard.EntryInstance{
-			Name: name, Incarnation: life, FailureDomain: cmp.Or(g.domains[name], "north-1"), Region: "north",
+			Name: name, Incarnation: incarnation, FailureDomain: cmp.Or(g.domains[name], "north-1"), Region: "north",
 			CallerAddress: name + ":1", PeerAddress: name + ":2", State: lovageyard.StateLive,
 		},
 		Feed: feed, Registrar: registrar, Decoder: platform.Decoder{}, Peers: peers{network: g.network, self: name + ":2"},
-		Observer: ignoringObserver{}, Quarantine: g.quarantine(), Timer: timer.Clock{}, Logger: discardLogger(), Metrics: meter.NewSet(), Seeds: seeds, Seed: uint64(life),
+		Observer: ignoringObserver{}, Quarantine: g.quarantine(), Timer: timer.Clock{}, Logger: discardLogger(), Metrics: meter.NewSet(), Seeds: seeds, Seed: uint64(incarnation),
 	}
 }
 
-// quarantine returns what remembers servers that ended, for one instance.
+// quarantine returns the crash monitor of one instance.
 func (g *group) quarantine() *quarantine.Monitor {
 	w := quarantine.NewMonitor(quarantine.Settings{Timer: timer.Clock{}, Logger: discardLogger(), Metrics: meter.NewSet()})
 	g.c.Cleanup(w.Close)
@@ -187,7 +187,7 @@
 	for _, control := range controls {
 		g.until("version 2", func() bool { return version(control) == 2 })
 	}
-	// One that leaves is named no more.
+	// A leaving instance is no longer live.
 	controls[0].Leave(time.Now())
 	for _, control := range controls[1:] {
 		g.until("two live instances", func() bool { return len(control.View().Live) == 2 })
@@ -195,19 +195,19 @@
 	g.c.Assert(controls[0].View().Leaving, qt.IsTrue)
 }
 
-// Two of many watch the platform for the rest, also after one of them has gone.
+// In a region with one failure domain, two of six instances watch the platform for the others.
 func TestRelaysWatchThePlatformForOthers(t *testing.T) {
 	testRelays(newGroup(t), 4)
 }
 
-// In a region of two failure domains one instance of each watches.
+// In a region with two failure domains, one instance of each watches the platform.
 func TestEachFailureDomainOfARegionHasOneRelay(t *testing.T) {
 	g := newGroup(t)
 	g.domains = map[string]string{"entry-0": "north-2", "entry-1": "north-2", "entry-2": "north-2"}
 	testRelays(g, 2)
 }
 
-// testRelays starts six instances and waits until a change costs a few calls at most.
+// testRelays starts six instances and waits until a change causes at most so many watches.
 func testRelays(g *group, most int) {
 	const count = 6
 	for i := range count {
@@ -224,8 +224,8 @@
 		}
 		return true
 	})
-	// The instances that do not relay stop watching once their last call has ended; a
-	// change ends all calls.
+	// Instances that are not relays stop watching when their pending watch returns; a change makes all
+	// watches return.
 	next := uint64(2)
 	change := func() int {
 		before := g.store.Watches()
@@ -234,7 +234,7 @@
 			g.until("the change", func() bool { return version(control) == next })
 		}
 		next++
-		// Longer than the pauses between calls, so that all that watch have called again.
+		// Longer than the pause between two watches, so that all watching instances have called again.
 		time.Sleep(1500 * time.Millisecond)
 		return g.store.Watches() - before
 	}
@@ -244,7 +244,7 @@
 	})
 }
 
-// An instance that the platform turns away serves by what its peers tell it.
+// An instance that can't reach the platform becomes ready with the rows of its peers.
 func TestInstanceWithoutPlatformStartsFromItsPeers(t *testing.T) {
 	g := newGroup(t)
 	g.start("entry-0", 1, g.address)
@@ -256,7 +256,7 @@
 	g.until("the drain from peers", func() bool { return cutOff.View().Drained["north-9"] })
 }
 
-// An instance does not wait for the end of a call to a platform that is silent.
+// An instance does not wait for a call to a platform that never answers.
 func TestInstanceWithSilentPlatformStartsFromItsPeers(t *testing.T) {
 	g := newGroup(t)
 	g.start("entry-0", 1, g.address)
@@ -267,7 +267,7 @@
 	g.until("ready from peers", func() bool { return restarted.View().Ready && version(restarted) == 1 })
 }
 
-// The time of day may step back between two lives of an instance.
+// The wall clock may step back between two incarnations of an instance.
 func TestInstanceThatRestartsWithAnOlderClockIsLive(t *testing.T) {
 	g := newGroup(t)
 	other := g.start("entry-0", 1, g.address)
@@ -296,12 +296,12 @@
 	g.c.Assert(control.View().Servers, qt.HasLen, 1)
 }
 
-// What another program writes into the servers' table stops nothing, here or at peers.
+// An invalid entry in the servers' table must affect no other server, here or at peers.
 func TestInvalidEntryDoesNotAffectOtherServers(t *testing.T) {
 	g := newGroup(t)
 	first := g.start("entry-0", 1, g.address)
 	defer g.stop("entry-0")
-	// This one hears rows from the other only.
+	// This one receives rows only from the other.
 	second := g.start("entry-1", 1, "127.0.0.1:1", "entry-0:2")
 	defer g.stop("entry-1")
 	good := func(name string, slots int) lovageyard.BackendServer {
@@ -325,18 +325,18 @@
 	untilServers("both", "i-1", "i-2")
 	reads := g.store.Lists()
 	g.store.Put("servers", "i-1", []any{"not an entry"})
-	untilServers("without the one that can't be read", "i-2")
+	untilServers("without the undecodable entry", "i-2")
 	g.store.PutServer(good("i-3", 4))
 	untilServers("one more", "i-2", "i-3")
 	g.store.PutServer(good("i-1", 4))
 	untilServers("all", "i-1", "i-2", "i-3")
 	g.store.PutServer(good("i-2", -4))
 	untilServers("without the one with slots below 0", "i-1", "i-3")
-	// No table was read again for it.
+	// No table was listed again.
 	g.c.Assert(g.store.Lists(), qt.Equals, reads)
 }
 
-// The age of a change is told by the instance that hears of it from another one, too.
+// The age of a change must be measured also at an instance that receives the change from a peer.
 func TestAgeOfChangesIsMeasured(t *testing.T) {
 	g := newGroup(t)
 	first := g.settings("entry-0", 1, platform.NewStore(g.address, discardLogger()), platform.NewStore(g.address, discardLogger()))
--- a/fleet/hold.go
+++ b/fleet/hold.go
@@ -12,18 +12,18 @@
 	"lovageyard.example/lovageyard/quarantine"
 )
 
-// Which requests are held is kept on the platform as well, one row each, and read once by an instance that
-// starts: if all instances end at once, none is left to tell.
+// Quarantined requests are also stored on the platform, one row each, and are read once by an instance that
+// starts. Otherwise they would be lost if all instances exited at the same time.
 
-// quarantineRetryInterval is the pause between attempts to write or read these rows.
+// quarantineRetryInterval is the interval between attempts to write or read these rows.
 const quarantineRetryInterval = time.Second
 
-// quarantineRow is the row of a request that is held; its key is the request's fingerprint.
+// quarantineRow is the value of the row of a quarantined request; its key is the request's fingerprint.
 type quarantineRow struct {
 	Crashes []crashRow `json:"crashes"`
 }
 
-// crashRow is the end of a server under the request, in Unix milliseconds.
+// crashRow is the crash of a server that had the request; times are in Unix milliseconds.
 type crashRow struct {
 	Server  string `json:"server"`
 	Life    int64  `json:"life,omitzero"`
@@ -31,37 +31,38 @@
 	SentAt  int64  `json:"sent-at-ms"`
 }
 
-// storeQuarantineRows writes a row for each request that this instance was the one to hold.
+// storeQuarantineRows writes a row for each request that was newly quarantined by this instance.
 func (c *Control) storeQuarantineRows() {
 	for _, request := range c.settings.Quarantine.NewlyQuarantined() {
 		c.inbox.Go(func() { c.storeQuarantineRow(request) })
 	}
 }
 
-// storeQuarantineRow writes the row of a request, until it is done or the request is held no more.
+// storeQuarantineRow writes the row of a request; it retries until it succeeds or the request is no
+// longer quarantined.
 func (c *Control) storeQuarantineRow(request uint64) {
 	key := quarantine.Format(request)
 	for c.inbox.Context().Err() == nil && c.settings.Quarantine.Evaluate(request).Quarantined {
 		row := toQuarantineRow(c.settings.Quarantine.ReportFor(request), c.settings.Timer.Now())
 		value, err := json.Marshal(row)
 		if err != nil {
-			c.settings.Logger.WithError(err).Error("a held request can't be kept")
+			c.settings.Logger.WithError(err).Error("failed to encode the row of a quarantined request")
 			return
 		}
 		c.settings.Metrics.Count(meter.PlatformWrites)
-		// A write of which the outcome is not known may be made again.
+		// The write is idempotent, so it may be repeated if its outcome is unknown.
 		_, err = c.settings.Registrar.Transact(c.inbox.Context(), lovageyard.Transaction{
 			Writes: []lovageyard.Write{{Table: lovageyard.TableQuarantine, Key: key, Value: value}},
 		})
 		if err == nil {
 			return
 		}
-		c.settings.Logger.WithError(err).WithField("fingerprint", key).Info("a held request is not kept yet")
+		c.settings.Logger.WithError(err).WithField("fingerprint", key).Info("failed to store a quarantined request; retrying")
 		c.sleep(quarantineRetryInterval)
 	}
 }
 
-// readQuarantineRows reads the requests that are held, once, and removes rows of others.
+// readQuarantineRows reads the rows of quarantined requests once; it retries until it succeeds.
 func (c *Control) readQuarantineRows() {
 	for c.inbox.Context().Err() == nil {
 		c.settings.Metrics.Count(meter.PlatformReads, lovageyard.TableQuarantine)
@@ -75,12 +76,13 @@
 	}
 }
 
-// applyQuarantineRows takes in rows of requests that are held.
+// applyQuarantineRows applies the rows of quarantined requests, and removes the rows of requests that are
+// no longer quarantined.
 func (c *Control) applyQuarantineRows(rows []lovageyard.Row) {
 	for _, row := range rows {
 		request, report, err := fromQuarantineRow(row, c.settings.Timer.Now())
 		if err != nil {
-			c.settings.Logger.WithError(err).WithField("key", row.Key).Warn("a row is passed over")
+			c.settings.Logger.WithError(err).WithField("key", row.Key).Warn("ignoring an invalid row")
 			continue
 		}
 		c.settings.Quarantine.Merge(report)
@@ -90,7 +92,7 @@
 	}
 }
 
-// removeQuarantineRow removes the row of a request that is held no more, unless it has been written again.
+// removeQuarantineRow removes a row unless it has been written again since it was read.
 func (c *Control) removeQuarantineRow(row lovageyard.Row) {
 	c.settings.Metrics.Count(meter.PlatformWrites)
 	_, err := c.settings.Registrar.Transact(c.inbox.Context(), lovageyard.Transaction{
@@ -98,12 +100,12 @@
 		Writes:     []lovageyard.Write{{Table: row.Table, Key: row.Key, Delete: true}},
 	})
 	if err != nil && !isConflict(err) {
-		// The next instance that starts removes it.
-		c.settings.Logger.WithError(err).WithField("key", row.Key).Info("an old row of a held request is not removed")
+		// The next instance that starts will remove it.
+		c.settings.Logger.WithError(err).WithField("key", row.Key).Info("failed to remove the row of a request that is no longer quarantined")
 	}
 }
 
-// toQuarantineRow returns the row of a request from the crashes under it.
+// toQuarantineRow returns the row of a request from a report of the crashes of servers that had it.
 func toQuarantineRow(r quarantine.Report, now time.Time) quarantineRow {
 	var row quarantineRow
 	for _, crash := range r.Crashes {
@@ -117,19 +119,19 @@
 	return row
 }
 
-// fromQuarantineRow returns a request and the crashes under it that a row tells of. The time of day may have jumped since it was
-// written: what seems to lie ahead is taken for new.
+// fromQuarantineRow returns the request and the crashes of a row. The wall clock may have stepped back since
+// the row was written: a time in the future counts as now.
 func fromQuarantineRow(row lovageyard.Row, now time.Time) (uint64, quarantine.Report, error) {
 	var report quarantine.Report
 	request, err := strconv.ParseUint(row.Key, 16, 64)
 	if err != nil {
 		return 0, report, errors.Wrap(err, "fingerprint")
 	}
-	var held quarantineRow
-	if err := json.Unmarshal(row.Value, &held); err != nil {
+	var stored quarantineRow
+	if err := json.Unmarshal(row.Value, &stored); err != nil {
 		return 0, report, errors.Wrap(err, "crashes")
 	}
-	for _, crash := range held.Crashes {
+	for _, crash := range stored.Crashes {
 		report.Crashes = append(report.Crashes, quarantine.Crash{
 			Server: quarantine.Server{Name: crash.Server, Incarnation: crash.Life},
 			Losses: []quarantine.Loss{{Request: request, SentAge: max(0, now.Sub(time.UnixMilli(crash.SentAt)))}},
--- a/fleet/hold_test.go
+++ b/fleet/hold_test.go
@@ -12,10 +12,10 @@
 	"lovageyard.example/lovageyard/quarantine"
 )
 
-// All instances end at once, and with them all that they remember. The platform keeps which requests are
-// held, so that no server has to end for it again.
+// All instances exit at the same time and lose their state. The quarantined requests are stored on the
+// platform, so that no further server has to crash before they are quarantined again.
 func TestQuarantineSurvivesTheExitOfAllInstances(t *testing.T) {
-	const deadly = 0xdead
+	const poison = 0xdead
 	g := newGroup(t)
 	client := platform.NewStore(g.address, discardLogger())
 	start := func(name string) *quarantine.Monitor {
@@ -30,7 +30,7 @@
 	first := start("entry-0")
 	for n := range 3 {
 		time.Sleep(2 * time.Millisecond)
-		crashServer(first, fmt.Sprint("server-", n), deadly)
+		crashServer(first, fmt.Sprint("server-", n), poison)
 	}
 	rows := func() []lovageyard.Row {
 		list, err := client.Rows(t.Context(), lovageyard.TableQuarantine)
@@ -38,12 +38,12 @@
 		return list.Rows
 	}
 	g.until("the row", func() bool { return len(rows()) == 1 })
-	// A row of long ago, and one that another program wrote.
+	// An expired row, and one that another program wrote.
 	g.store.Put(platform.StoreTable(lovageyard.TableQuarantine), "1", map[string]any{"crashes": []any{}})
 	g.store.Put(platform.StoreTable(lovageyard.TableQuarantine), "none", "nonsense")
 	g.stop("entry-0")
 	second := start("entry-1")
 	defer g.stop("entry-1")
-	g.until("the request is held", func() bool { return second.Evaluate(deadly).Quarantined })
-	g.until("the old row is gone", func() bool { return len(rows()) == 2 })
+	g.until("the request is quarantined", func() bool { return second.Evaluate(poison).Quarantined })
+	g.until("the expired row is removed", func() bool { return len(rows()) == 2 })
 }
--- a/fleet/narrow_test.go
+++ b/fleet/narrow_test.go
@@ -19,15 +19,15 @@
 	"lovageyard.example/lovageyard/platform"
 )
 
-// manyRoutes is the size of a configuration that operators have reached by adding routes.
+// manyRoutes is the number of routes in the largest configuration that operators have had.
 const manyRoutes = 4000
 
-// Operators added 1,400 routes to 2,822 and changed one more a moment later. Instances whose
-// link carries 10 Mbit/s had the versions in force up to 1.7 s after the bound, with processors
-// at most 9% busy. Each lacked one row of about 1 MB, and got it from two relays and three
-// random peers at the same time, whole each time. One such instance received 1,333 KB a second
-// for eight seconds, while "peer-rows.orders" stood at 12 and "peer-failures" rose from 8 to 37:
-// copies were cut off by the timeout of a call, and begun again from their first byte.
+// Guards against sending a large row in full several times. After 1,400 routes were added to 2,822 and
+// another route was changed, instances with links of 10 Mbit/s had the versions in force up to 1.7 s too
+// late, with processors at most 9% busy. Two relays and three random peers each sent them the whole row of
+// about 1 MB at the same time. One instance received 1,333 KB a second for eight seconds, while the metric
+// "peer-rows.orders" stayed at 12 and "peer-failures" rose from 8 to 37: calls timed out, and the transfer
+// started again from the first byte.
 func TestLargeConfigurationUsesLittleBandwidth(t *testing.T) {
 	g := newGroup(t)
 	l := newLink(g, rate.Inf)
@@ -44,14 +44,14 @@
 	g.until("the large configuration", func() bool { return version(narrow) == 2 })
 	g.c.Assert(int(l.sentBytes.Load()-before) < size, qt.IsTrue, qt.Commentf("%d bytes for a row of %d", l.sentBytes.Load()-before, size))
 
-	// A small change of a large configuration is a small message.
+	// A small change of a large configuration must be a small message.
 	before = l.sentBytes.Load()
 	g.store.PutConfiguration(configuration(3, manyRoutes+1))
 	g.until("one route more", func() bool { return version(narrow) == 3 })
 	g.c.Assert(int(l.sentBytes.Load()-before) < size/20, qt.IsTrue, qt.Commentf("%d bytes for one route more", l.sentBytes.Load()-before))
 }
 
-// An instance that starts hears the table of all servers, hundreds of small rows that are much alike.
+// An instance that starts receives the whole servers' table, which has many small, similar rows.
 func TestServerTableUsesLittleBandwidth(t *testing.T) {
 	const servers = 2000
 	g := newGroup(t)
@@ -71,11 +71,10 @@
 	g.c.Assert(int(l.sentBytes.Load()) < 30*servers, qt.IsTrue, qt.Commentf("%d bytes for %d servers", l.sentBytes.Load(), servers))
 }
 
-// A row that takes longer than a call to a peer may take without an answer still arrives, as
-// long as its bytes keep coming.
+// A row whose transfer takes longer than the timeout of a call still arrives, as long as bytes keep arriving.
 func TestLargeConfigurationCrossesASlowLink(t *testing.T) {
 	g := newGroup(t)
-	// What crosses here, 80 KB or more, takes four seconds or more.
+	// The transfer of 80 KB or more takes at least four seconds.
 	l := newLink(g, 20_000)
 	g.start("entry-0", 1, g.address)
 	defer g.stop("entry-0")
@@ -86,7 +85,7 @@
 	g.until("the configuration", func() bool { return version(narrow) == 2 })
 }
 
-// configuration returns one with routes of random names, which compress as badly as real ones.
+// configuration returns a configuration whose routes have random names, which compress as badly as real ones.
 func configuration(version uint64, routes int) lovageyard.Configuration {
 	random := rand.New(rand.NewPCG(1, 1))
 	c := lovageyard.Configuration{Version: version, Services: map[string]lovageyard.Service{"desk": {Name: "desk"}}}
@@ -99,7 +98,7 @@
 	return c
 }
 
-// value returns the value of the operator's configuration row.
+// value returns the value of the configuration row at a version.
 func (g *group) value(version int64) []byte {
 	client := platform.NewStore(g.address, discardLogger())
 	defer client.Close()
@@ -109,22 +108,22 @@
 	return changes.Rows[0].Value
 }
 
-// link is what one instance hears its peers through: all their answers share its rate.
+// link is the network link of one instance: the answers of all its peers share its rate.
 type link struct {
 	g         *group
 	limiter   *rate.Limiter
 	sentBytes atomic.Int64
 }
 
-// burst is the largest piece that a link carries at once.
+// burst is the maximum number of bytes that a link sends at once.
 const burst = 1000
 
-// newLink returns a link that carries so many bytes a second.
+// newLink returns a link with a rate in bytes a second.
 func newLink(g *group, bytes rate.Limit) *link {
 	return &link{g: g, limiter: rate.NewLimiter(bytes, burst)}
 }
 
-// startBehind starts an instance that hears its peers through a link, and can't reach the platform.
+// startBehind starts an instance that reaches its peers through a link, and can't reach the platform.
 func (g *group) startBehind(l *link, name string, seeds ...string) *fleet.Control {
 	unreachable := platform.NewStore("127.0.0.1:1", discardLogger())
 	s := g.settings(name, 1, unreachable, unreachable, seeds...)
@@ -150,7 +149,7 @@
 	return p.client.Share(ctx, listening, r)
 }
 
-// serve makes a peer answer over HTTP and returns where.
+// serve starts an HTTP server for a peer and returns its address.
 func (l *link) serve(address string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	l.g.c.Assert(err, qt.IsNil)
@@ -192,11 +191,11 @@
 	return written, nil
 }
 
-// unknownBasePeer is a peer that sends differences from a base that nobody else has, unless it is
-// asked for whole values.
+// unknownBasePeer is a peer that sends deltas from a base that no other instance has, unless full values
+// are requested.
 type unknownBasePeer struct {
-	packer peer.Encoder
-	row    lovageyard.Row
+	encoder peer.Encoder
+	row     lovageyard.Row
 }
 
 func (p *unknownBasePeer) Share(_ context.Context, _ string, r *wire.ShareRequest) (*wire.ShareReply, error) {
@@ -210,7 +209,7 @@
 	}
 	changes := lovageyard.Changes{To: p.row.Version, Rows: []lovageyard.Row{p.row}}
 	return &wire.ShareReply{
-		Changes: []*wire.TableChanges{{Table: p.row.Table, Changes: p.packer.EncodeChanges(changes, baseOf)}},
+		Changes: []*wire.TableChanges{{Table: p.row.Table, Changes: p.encoder.EncodeChanges(changes, baseOf)}},
 		Stale:   true,
 	}, nil
 }
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -12,11 +12,11 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// blockingFeed holds each watch until the test lets it go with a change.
+// blockingFeed blocks each watch until the test releases it with a change.
 type blockingFeed struct {
-	// watched gets the table of each watch as it begins.
+	// watched receives the table of each watch when it starts.
 	watched chan string
-	// release ends the watch of orders that is under way.
+	// release makes the pending watch of orders return.
 	release chan lovageyard.Changes
 }
 
@@ -38,29 +38,29 @@
 	}
 }
 
-// recordingRegistrar takes every row and notes that it was asked to.
+// recordingRegistrar accepts every transaction and records that there was one.
 type recordingRegistrar struct {
-	asked atomic.Bool
+	called atomic.Bool
 }
 
 func (r *recordingRegistrar) Transact(context.Context, lovageyard.Transaction) (int64, error) {
-	r.asked.Store(true)
+	r.called.Store(true)
 	return 1, nil
 }
 
-// recordingTimer is a timer service that tells of each pause that begins.
+// recordingTimer is a manual timer that records each call of After.
 type recordingTimer struct {
 	*timer.Manual
-	begun chan time.Duration
+	started chan time.Duration
 }
 
 func (p recordingTimer) After(d time.Duration) lovageyard.Ticker {
 	ticks := p.Manual.After(d)
-	p.begun <- d
+	p.started <- d
 	return ticks
 }
 
-// next returns what a channel delivers.
+// next returns the next value of a channel, or fails the test after waitTimeout.
 func next[T any](c *qt.C, what string, from <-chan T) T {
 	select {
 	case got := <-from:
@@ -71,37 +71,37 @@
 	}
 }
 
-// drain empties a channel.
+// drain removes all values that a channel has buffered.
 func drain[T any](from <-chan T) {
 	for len(from) > 0 {
 		<-from
 	}
 }
 
-// A change that follows another one is asked for within a second: leaving servers and
-// configurations have to be known everywhere two seconds after they are accepted.
+// The next watch after a change must start within a second, as leaving servers and configurations have to
+// be known everywhere two seconds after they are accepted.
 func TestConsecutiveChangesAreReadPromptly(t *testing.T) {
 	const soon = time.Second
 	c := qt.New(t)
 	g := newGroup(t)
-	clock := recordingTimer{Manual: timer.NewManual(time.Unix(1000, 0)), begun: make(chan time.Duration, 100)}
+	clock := recordingTimer{Manual: timer.NewManual(time.Unix(1000, 0)), started: make(chan time.Duration, 100)}
 	feed := blockingFeed{watched: make(chan string, 100), release: make(chan lovageyard.Changes)}
 	rows := &recordingRegistrar{}
 	s := g.settings("a", 1, feed, rows)
 	s.Timer = clock
 	g.startWith(s)
 	defer g.stop("a")
-	// Until all that goes on at a start is over, and each table is watched.
+	// Wait until the instance has started completely and watches each table.
 	g.until("the start is over", func() bool {
 		clock.Advance(10 * time.Second)
-		return rows.asked.Load() && len(feed.watched) == len(lovageyard.FollowedTables())
+		return rows.called.Load() && len(feed.watched) == len(lovageyard.FollowedTables())
 	})
 	drain(feed.watched)
-	drain(clock.begun)
+	drain(clock.started)
 	for version := int64(2); version < 5; version++ {
-		gone := lovageyard.Row{Table: lovageyard.TableOrders, Key: "evacuate/north-2", Version: version, Deleted: true}
-		feed.release <- lovageyard.Changes{After: version - 1, To: version, Rows: []lovageyard.Row{gone}}
-		pause := next(c, "a pause after the change", clock.begun)
+		removed := lovageyard.Row{Table: lovageyard.TableOrders, Key: "evacuate/north-2", Version: version, Deleted: true}
+		feed.release <- lovageyard.Changes{After: version - 1, To: version, Rows: []lovageyard.Row{removed}}
+		pause := next(c, "a pause after the change", clock.started)
 		c.Assert(pause <= soon, qt.IsTrue, qt.Commentf("a pause of %v", pause))
 		clock.Advance(pause)
 		c.Assert(next(c, "the next watch", feed.watched), qt.Equals, lovageyard.TableOrders)
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -10,28 +10,28 @@
 	"lovageyard.example/lovageyard/peer/wire"
 )
 
-// In each failure domain one instance, the relay, watches the platform's tables for the rest,
-// which wait at it, and at the relay of another domain of their region, for rows that they
-// lack: calls to the platform grow with the failure domains and not with the instances, and a
-// relay that falls silent delays no row. A domain that is alone in its region has two relays.
-// A wrong view of who relays costs calls, never rows: whoever follows no relay that reads the
-// platform watches the platform itself.
+// In each failure domain one instance, the relay, watches the platform's tables on behalf of the others.
+// These wait for rows at their relay and at the relay of another domain of their region, so that calls
+// to the platform grow with the number of failure domains, not instances, and a relay that stops
+// answering delays no row. A domain that is alone in its region has two relays. Instances that disagree
+// on the relays make more calls but lose no rows: an instance that follows no healthy relay watches the
+// platform itself.
 
 const (
 	// relayWait is how long a call to a relay waits for rows.
 	relayWait = 20 * time.Second
-	// relayConfirmWait is the same while the relay answers each time that it has confirmed its
-	// configuration with the platform, about each second.
+	// relayConfirmWait is the same while the relay answers whenever it has confirmed its configuration
+	// with the platform, about once a second.
 	relayConfirmWait = 2 * time.Second
 )
 
 // relayState is the state of the calls to one relay.
 type relayState struct {
-	// healthy says that the last call brought an answer of a relay that reads the platform.
+	// healthy is set if the last call was answered and the relay can read the platform.
 	healthy bool
 }
 
-// relayNames returns the relays that instances of the own failure domain follow.
+// relayNames returns the names of the relays that instances of the own failure domain follow.
 func (c *Control) relayNames() []string {
 	own := c.members.Relays(c.self.FailureDomain)
 	if len(own) == 0 {
@@ -43,8 +43,8 @@
 	return own
 }
 
-// nextDomain returns the failure domain of the region that comes after the own one in the
-// order of their names, or "" if there is no other.
+// nextDomain returns the failure domain of the region that follows the own one in the order of names,
+// wrapping around, or "" if the region has no other.
 func (c *Control) nextDomain() string {
 	var domains []string
 	for _, m := range c.inRegion(c.members.Live()) {
@@ -64,8 +64,7 @@
 	return domains[0]
 }
 
-// relayAddresses returns the addresses of the relays to follow, or none if this instance is
-// a relay itself.
+// relayAddresses returns the addresses of the relays to follow; there are none if this instance is a relay.
 func (c *Control) relayAddresses() []string {
 	relays := c.relayNames()
 	if slices.Contains(relays, c.self.Name) {
@@ -80,8 +79,7 @@
 	return addresses
 }
 
-// followRelays keeps a call waiting at each relay, and decides whether this instance
-// watches the platform itself.
+// followRelays keeps a pending call at each relay, and decides whether this instance watches the platform.
 func (c *Control) followRelays() {
 	addresses := c.relayAddresses()
 	c.isRelay.Store(len(addresses) == 0)
@@ -101,7 +99,7 @@
 	c.watchesPlatform.Store(!c.hasHealthyRelay())
 }
 
-// hasHealthyRelay says whether a relay that reads the platform is followed.
+// hasHealthyRelay reports whether a healthy relay is followed.
 func (c *Control) hasHealthyRelay() bool {
 	for _, f := range c.relays {
 		if f.healthy {
@@ -111,8 +109,8 @@
 	return false
 }
 
-// callRelay begins a call to a relay. The first one does not wait, as it is to show soon
-// whether the relay reads the platform.
+// callRelay starts a call to a relay. While the relay is not known to be healthy, the call does not wait, so
+// that it shows quickly whether the relay reads the platform.
 func (c *Control) callRelay(address string) {
 	request := c.newRequest()
 	request.Cursors = c.cursors()
@@ -123,18 +121,18 @@
 		}
 	}
 	c.inbox.Call("follow "+address, func(ctx context.Context) message {
-		askedAt := c.settings.Timer.Elapsed()
+		requestedAt := c.settings.Timer.Elapsed()
 		reply, err := c.settings.Peers.Share(ctx, address, request)
-		return relayResult{address: address, reply: reply, err: err, askedAt: askedAt}
+		return relayResult{address: address, reply: reply, err: err, requestedAt: requestedAt}
 	})
 }
 
-// relayResult is the end of a call to a relay.
+// relayResult is the result of a call to a relay.
 type relayResult struct {
-	address string
-	reply   *wire.ShareReply
-	err     error
-	askedAt time.Duration
+	address     string
+	reply       *wire.ShareReply
+	err         error
+	requestedAt time.Duration
 }
 
 func (m relayResult) Apply(c *Control) {
@@ -145,7 +143,7 @@
 	before := f.healthy
 	f.healthy = m.err == nil && !m.reply.GetStale()
 	if before != f.healthy {
-		c.settings.Logger.WithField("relay", m.address).WithField("sound", f.healthy).Info("relay judged anew")
+		c.settings.Logger.WithField("relay", m.address).WithField("sound", f.healthy).Info("relay health changed")
 	}
 	if m.err != nil {
 		c.recordPeerFailure(m.address, m.err)
@@ -155,29 +153,29 @@
 		for _, t := range m.reply.GetChanges() {
 			c.applyChanges(t, now)
 		}
-		c.recordConfirmation(m.reply.GetConfirmation(), m.askedAt)
+		c.recordConfirmation(m.reply.GetConfirmation(), m.requestedAt)
 	}
 	if f.healthy {
 		for _, table := range lovageyard.FollowedTables() {
 			c.recordFeedSuccess(table, c.settings.Timer.Now())
 		}
-		// A relay that is not sound is asked again at the next tick.
+		// An unhealthy relay is called again at the next tick.
 		c.followRelays()
 		return
 	}
 	c.watchesPlatform.Store(!c.hasHealthyRelay())
 }
 
-// waiter is a peer's call that waits for rows.
+// waiter is a peer's pending call that waits for rows.
 type waiter struct {
 	shareCall
 	until time.Time
-	// readCount is the number of times that the configuration had been confirmed as the call came.
+	// readCount is confirmations.readCount when the call was received.
 	readCount int
 }
 
-// answerWaiters answers the calls for which there are rows, whose time is over, or that
-// have to know that this instance can't read the platform.
+// answerWaiters answers pending calls for which there are rows or a new confirmation, whose wait has
+// ended, or all of them if this instance can't read the platform.
 func (c *Control) answerWaiters(now time.Time) {
 	kept := c.waiters[:0]
 	for _, w := range c.waiters {
@@ -192,7 +190,7 @@
 	c.waiters = kept
 }
 
-// isStale says whether this instance can't read the platform at present.
+// isStale reports whether this instance lacks a table or can't read the platform.
 func (c *Control) isStale() bool {
 	return len(c.failingSince) > 0 || !c.hasAllTables()
 }
@@ -205,14 +203,14 @@
 		Confirmation: c.confirmation(m.receivedAt),
 	}
 	if !m.request.GetConfirm() || len(changes) > 0 {
-		// Answers that only confirm come each second, and word of others comes by exchanges.
+		// Replies that only confirm are sent each second; heartbeats of others spread by gossip anyway.
 		reply.Pulses = c.pulses()
 	}
 	return reply
 }
 
-// awaitWatching waits until this instance is to watch the platform itself; it returns false
-// when the loop has ended.
+// awaitWatching waits until this instance has to watch the platform itself; it returns false when the
+// loop has stopped.
 func (c *Control) awaitWatching() bool {
 	for c.inbox.Context().Err() == nil {
 		if c.watchesPlatform.Load() {
@@ -223,7 +221,7 @@
 	return false
 }
 
-// changesFor returns the rows that a peer lacks.
+// changesFor returns the changes that a peer lacks, by the cursors in its request.
 func (c *Control) changesFor(r *wire.ShareRequest) []*wire.TableChanges {
 	var out []*wire.TableChanges
 	for _, cursor := range r.GetCursors() {
@@ -236,7 +234,7 @@
 		}
 		packed, err := c.encoder.EncodeTable(cursor.GetTable(), changes, c.baseLookup(cursor), r.GetReads())
 		if err != nil {
-			c.settings.Logger.WithError(err).Error("rows can't be sent to a peer")
+			c.settings.Logger.WithError(err).Error("failed to encode rows for a peer")
 			continue
 		}
 		packed.AgeMs = c.changeAge(cursor.GetTable(), c.settings.Timer.Now())
@@ -245,7 +243,7 @@
 	return out
 }
 
-// baseLookup returns the rows that a peer holds by what it has told.
+// baseLookup returns the lookup of the rows that a peer has at its cursor, as bases for deltas.
 func (c *Control) baseLookup(cursor *wire.Cursor) peer.BaseLookup {
 	if cursor.GetWhole() {
 		return peer.NoBase
--- a/fleet/restart_test.go
+++ b/fleet/restart_test.go
@@ -11,23 +11,23 @@
 	"lovageyard.example/lovageyard/platform"
 )
 
-// gossipingPeer is a peer that passes on word of another instance.
+// gossipingPeer is a peer that sends heartbeats of another instance.
 type gossipingPeer struct {
-	life      atomic.Int64
-	heartbeat atomic.Int64
+	incarnation atomic.Int64
+	heartbeat   atomic.Int64
 }
 
 func (p *gossipingPeer) Share(context.Context, string, *wire.ShareRequest) (*wire.ShareReply, error) {
 	return &wire.ShareReply{
 		Stale:  true,
-		Pulses: []*wire.Pulse{{Instance: "entry-9", Life: p.life.Load(), Heartbeat: p.heartbeat.Add(1)}},
+		Pulses: []*wire.Pulse{{Instance: "entry-9", Life: p.incarnation.Load(), Heartbeat: p.heartbeat.Add(1)}},
 	}, nil
 }
 
-// An instance that starts again may have other addresses. Word of its new life that comes through
-// others does not carry them: they stand in its row. A look-up named the old address for 17 s, and an
-// eighth of the callers' connections were refused ("709 of 811 requests were served"), with each
-// instance answering all that reached it.
+// Guards against stale addresses of a restarted instance. Heartbeats that arrive by gossip carry no
+// addresses; those of a new incarnation are in its row. Look-ups returned the old address for 17 s, and an
+// eighth of the callers' connections were refused ("709 of 811 requests were served"), while each instance
+// answered all requests that reached it.
 func TestRestartedInstanceIsListedAtItsNewAddress(t *testing.T) {
 	g := newGroup(t)
 	register := func(address string) {
@@ -36,7 +36,7 @@
 		})
 	}
 	other := &gossipingPeer{}
-	other.life.Store(5)
+	other.incarnation.Store(5)
 	register("10.0.0.9:1")
 	client := platform.NewStore(g.address, discardLogger())
 	s := g.settings("entry-1", 1, client, client, "entry-0:2")
@@ -44,12 +44,12 @@
 	control := g.startWith(s)
 	defer g.stop("entry-1")
 	g.until("the first address", func() bool { return listsAddress(control, "10.0.0.9:1") })
-	other.life.Store(6)
+	other.incarnation.Store(6)
 	register("10.0.0.9:2")
 	g.until("the second address", func() bool { return listsAddress(control, "10.0.0.9:2") && !listsAddress(control, "10.0.0.9:1") })
 }
 
-// listsAddress says whether an instance names an address to callers.
+// listsAddress reports whether an instance returns an address in look-ups.
 func listsAddress(c *fleet.Control, address string) bool {
 	for _, m := range c.View().Live {
 		if m.CallerAddress == address {
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -20,16 +20,16 @@
 
 // Limits of the exchange between instances.
 const (
-	// regionFanOut and anyFanOut are the numbers of random peers of the own region, and of all,
-	// that an instance exchanges with each tick.
+	// regionFanOut and globalFanOut are the numbers of random peers, of the own region and of all
+	// regions, with which an instance exchanges each tick.
 	regionFanOut = 2
 	globalFanOut = 1
-	// maxPulses bounds the instances that one message passes word of.
+	// maxPulses is the maximum number of instances whose heartbeats one message has.
 	maxPulses = 24
-	// maxTableRequests is the number of peers that an instance without rows asks at a time, as one of
-	// them may be silent.
+	// maxTableRequests is the number of peers from which whole tables are requested at a time, as one of
+	// them may not answer.
 	maxTableRequests = 2
-	// maxLeaveNotifications bounds the peers that a leaving instance tells itself.
+	// maxLeaveNotifications is the maximum number of peers that a leaving instance notifies directly.
 	maxLeaveNotifications = 16
 )
 
@@ -40,7 +40,7 @@
 	region string
 }
 
-// gossip exchanges with a few random peers, of which some are in the own region.
+// gossip exchanges with a few random peers, some of them in the own region.
 func (c *Control) gossip() {
 	partners := c.partners()
 	near := slices.DeleteFunc(slices.Clone(partners), func(p partner) bool { return p.region != c.self.Region })
@@ -48,7 +48,7 @@
 	c.exchangeWithAll(near[:min(regionFanOut, len(near))])
 }
 
-// exchangeDigests exchanges with peers, and asks them for what they know of crashes if that differs.
+// exchangeDigests exchanges with peers and adds the digest of the crash reports.
 func (c *Control) exchangeDigests(partners []partner) {
 	for _, p := range partners {
 		request := c.gossipRequest()
@@ -57,7 +57,7 @@
 	}
 }
 
-// notifyPeers exchanges with every known peer, up to a bound.
+// notifyPeers exchanges with up to maxLeaveNotifications random peers.
 func (c *Control) notifyPeers() {
 	partners := c.partners()
 	c.exchangeWithAll(partners[:min(maxLeaveNotifications, len(partners))])
@@ -69,14 +69,14 @@
 	}
 }
 
-// partners returns all instances that may be alive, in random order.
+// partners returns all other instances that may be running, in random order.
 func (c *Control) partners() []partner {
 	found := make(map[string]string)
 	for _, m := range c.members.Observed() {
 		found[m.PeerAddress] = m.Region
 	}
 	for _, m := range c.state.Instances() {
-		if _, heard := c.members.Find(m.Name); !heard {
+		if _, known := c.members.Find(m.Name); !known {
 			found[m.PeerAddress] = m.Region
 		}
 	}
@@ -90,7 +90,7 @@
 	for address, region := range found {
 		partners = append(partners, partner{address: address, region: region})
 	}
-	// In a fixed order first, so that the same inputs give the same choices.
+	// Sorting first makes the shuffle reproducible for a given seed.
 	slices.SortFunc(partners, func(a, b partner) int { return strings.Compare(a.address, b.address) })
 	c.random.Shuffle(len(partners), func(i, j int) { partners[i], partners[j] = partners[j], partners[i] })
 	return partners
@@ -100,23 +100,24 @@
 	c.exchange("share "+p.address, p.address, c.gossipRequest())
 }
 
-// newRequest returns a call to a peer that says who asks and what it reads.
+// newRequest returns a request with this instance's description and the newest encoding that it reads.
 func (c *Control) newRequest() *wire.ShareRequest {
 	return &wire.ShareRequest{From: peer.FromMember(c.self), Reads: peer.NewestEncoding}
 }
 
-// gossipRequest returns what an exchange with a peer begins with.
+// gossipRequest returns a request with heartbeats of other instances and, once all tables have been read,
+// cursors.
 func (c *Control) gossipRequest() *wire.ShareRequest {
 	request := c.newRequest()
 	request.Pulses = c.pulses()
 	if c.hasAllTables() {
-		// Before, whole tables are asked for at few peers at a time; see askForRows.
+		// Before that, tables are requested from few peers at a time; see requestTables.
 		request.Cursors = c.cursors()
 	}
 	return request
 }
 
-// requestTables asks a few random peers for whole tables, unless it did so a moment ago.
+// requestTables requests whole tables from a few random peers, at most once per tableRequestInterval.
 func (c *Control) requestTables(now time.Time) {
 	if !c.tablesRequestedAt.IsZero() && now.Sub(c.tablesRequestedAt) < tableRequestInterval {
 		return
@@ -130,16 +131,16 @@
 	}
 }
 
-// exchange calls a peer and takes in what it answers; one call of a name runs at a time.
+// exchange calls a peer and posts the result; only one call of a name runs at a time.
 func (c *Control) exchange(name, address string, request *wire.ShareRequest) {
 	c.inbox.Call(name, func(ctx context.Context) message {
-		askedAt := c.settings.Timer.Elapsed()
+		requestedAt := c.settings.Timer.Elapsed()
 		reply, err := c.settings.Peers.Share(ctx, address, request)
-		return exchangeResult{address: address, reply: reply, err: err, askedAt: askedAt}
+		return exchangeResult{address: address, reply: reply, err: err, requestedAt: requestedAt}
 	})
 }
 
-// hasAllTables says whether all followed tables have been read from the platform or a peer.
+// hasAllTables reports whether all followed tables have been read from the platform or a peer.
 func (c *Control) hasAllTables() bool {
 	for _, table := range lovageyard.FollowedTables() {
 		if c.state.Cursor(table) == 0 {
@@ -149,7 +150,7 @@
 	return true
 }
 
-// pulses returns word of others for a peer.
+// pulses returns heartbeats of other instances to send to a peer.
 func (c *Control) pulses() []*wire.Pulse {
 	var out []*wire.Pulse
 	for _, m := range c.members.GossipForRegion(c.self.Region, maxPulses, c.settings.Timer.Now()) {
@@ -173,12 +174,12 @@
 	return out
 }
 
-// exchangeResult is the end of an exchange that this instance began.
+// exchangeResult is the result of an exchange that this instance started.
 type exchangeResult struct {
-	address string
-	reply   *wire.ShareReply
-	err     error
-	askedAt time.Duration
+	address     string
+	reply       *wire.ShareReply
+	err         error
+	requestedAt time.Duration
 }
 
 func (m exchangeResult) Apply(c *Control) {
@@ -193,22 +194,22 @@
 	for _, t := range m.reply.GetChanges() {
 		c.applyChanges(t, now)
 	}
-	c.recordConfirmation(m.reply.GetConfirmation(), m.askedAt)
+	c.recordConfirmation(m.reply.GetConfirmation(), m.requestedAt)
 }
 
-// recordPeerFailure notes that an exchange with a peer failed.
+// recordPeerFailure counts and logs a failed call to a peer.
 func (c *Control) recordPeerFailure(address string, err error) {
 	c.settings.Metrics.Count(meter.PeerFailures, causeOf(err))
-	c.settings.Logger.WithError(err).WithField("peer", address).Debug("a peer did not answer")
+	c.settings.Logger.WithError(err).WithField("peer", address).Debug("call to a peer failed")
 }
 
-// Causes of failed calls in metrics.
+// Causes of failed calls, as metrics name them.
 const (
 	causeTimeout = "timeout"
 	causeOther   = "other"
 )
 
-// causeOf tells calls that were given up for time from others.
+// causeOf returns the cause of a failed call.
 func causeOf(err error) string {
 	var failed net.Error
 	if errors.Is(err, context.DeadlineExceeded) || errors.As(err, &failed) && failed.Timeout() {
@@ -231,11 +232,11 @@
 	}
 }
 
-// observePulse takes in word of an instance, if it is known who that is.
+// observePulse applies a heartbeat received by gossip, if the instance is known.
 func (c *Control) observePulse(p *wire.Pulse, now time.Time) {
 	m, known := c.members.Find(p.GetInstance())
 	if !known || p.GetLife() != c.directIncarnations[p.GetInstance()] {
-		// A life that has not spoken here itself is described by its row.
+		// Without a direct message of this incarnation, the instance is described by its row.
 		if row, listed := c.state.Instance(p.GetInstance()); listed {
 			m.EntryInstance, known = row, true
 		}
@@ -254,8 +255,8 @@
 	c.observeMember(m, now)
 }
 
-// observeMember takes in what is said of a member. If an earlier life of this instance seems
-// to be the newer one, as after a step of the time of day, this life is made the newer.
+// observeMember applies a member's description. If a previous incarnation of this instance has a higher
+// number, because the wall clock has stepped back, this incarnation's number is raised above it.
 func (c *Control) observeMember(m instance.Member, now time.Time) {
 	if m.Name != c.self.Name {
 		before, known := c.members.Find(m.Name)
@@ -274,23 +275,23 @@
 func (c *Control) applyChanges(t *wire.TableChanges, now time.Time) {
 	changes, err := c.decodeChanges(t)
 	if err != nil {
-		// The next peer that is asked sends values that need no base.
+		// The next request asks for full values.
 		c.needsFullValues[t.GetTable()] = true
-		c.settings.Logger.WithError(err).WithField("table", t.GetTable()).Warn("rows of a peer can't be read, whole ones are asked for")
+		c.settings.Logger.WithError(err).WithField("table", t.GetTable()).Warn("failed to decode a peer's rows; requesting full values")
 		return
 	}
 	delete(c.needsFullValues, t.GetTable())
 	if age := t.GetAgeMs(); age >= 0 && c.hasNewRows(changes.Rows) {
 		c.recordChangeAge(t.GetTable(), time.Duration(age)*time.Millisecond, now)
 	}
-	applied, faults := c.state.ApplyChanges(t.GetTable(), changes, now)
-	c.logInvalidRows(faults)
+	applied, invalid := c.state.ApplyChanges(t.GetTable(), changes, now)
+	c.logInvalidRows(invalid)
 	if applied && len(changes.Rows) > 0 {
 		c.dirty = true
 	}
 }
 
-// decodeChanges returns the changes of a wire message; rows that are known already are left unread.
+// decodeChanges returns the changes of a wire message; values of rows that are already known are not decoded.
 func (c *Control) decodeChanges(t *wire.TableChanges) (lovageyard.Changes, error) {
 	whole, err := peer.DecodeTable(t)
 	if err != nil {
@@ -307,7 +308,7 @@
 		}
 		base, found := c.state.ValueAt(t.GetTable(), sent.GetKey(), sent.GetBase())
 		if sent.GetBase() > 0 && !found {
-			return changes, errors.Errorf("row %s/%s: its base, version %d, is not known", t.GetTable(), sent.GetKey(), sent.GetBase())
+			return changes, errors.Errorf("row %s/%s: base version %d is unknown", t.GetTable(), sent.GetKey(), sent.GetBase())
 		}
 		row, err := peer.ToRow(t.GetTable(), sent, base)
 		if err != nil {
@@ -319,14 +320,15 @@
 	return changes, nil
 }
 
-// countRows counts the rows that a peer has sent.
+// countRows updates the metrics of rows received from peers.
 func (c *Control) countRows(t *wire.TableChanges, rows, known int) {
 	c.settings.Metrics.Add(meter.PeerRows, rows, t.GetTable())
 	c.settings.Metrics.Add(meter.PeerRowsKnown, known, t.GetTable())
 	c.settings.Metrics.Add(meter.PeerBytes, proto.Size(t), t.GetTable())
 }
 
-// Share answers an exchange that a peer began.
+// Share answers an exchange that a peer started. It is safe for concurrent use; if the request has a wait
+// time and there is nothing to send, it blocks until there is or the time has passed.
 func (c *Control) Share(ctx context.Context, r *wire.ShareRequest) (*wire.ShareReply, error) {
 	answer := make(chan *wire.ShareReply, 1)
 	if !c.inbox.Post(shareCall{request: r, answer: answer}) {
@@ -342,11 +344,11 @@
 	}
 }
 
-// shareCall is an exchange that a peer began.
+// shareCall is an exchange that a peer started.
 type shareCall struct {
 	request *wire.ShareRequest
 	answer  chan *wire.ShareReply
-	// receivedAt is when the call was read here; see lovageyard.Timer.
+	// receivedAt is when the call was received, as lovageyard.Timer's elapsed time.
 	receivedAt time.Duration
 }
 
--- a/fleet/silence_test.go
+++ b/fleet/silence_test.go
@@ -19,17 +19,17 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// watchCall is one call for changes.
+// watchCall records one call of Watch.
 type watchCall struct {
 	table string
 	wait  time.Duration
 }
 
-// blockingWatches answers whole tables, and leaves calls for changes unanswered until the test fails those of
-// one table.
+// blockingWatches is a feed that lists empty tables and blocks watches, until the test makes those of orders
+// fail.
 type blockingWatches struct {
 	calls chan watchCall
-	// failing ends the calls for changes of orders.
+	// failing is closed to make watches of orders fail.
 	failing chan struct{}
 	once    sync.Once
 }
@@ -56,7 +56,7 @@
 	f.once.Do(func() { close(f.failing) })
 }
 
-// watchAll starts an instance and returns once it waits for changes of all tables, with the waits of these calls.
+// watchAll starts an instance, waits until it watches all tables, and returns the wait time of each watch.
 func watchAll(g *group, feed *blockingWatches) map[string]time.Duration {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	rows := &recordingRegistrar{}
@@ -75,8 +75,8 @@
 	return waits
 }
 
-// The platform may fall silent for a moment while all calls wait for changes, and never answer these: the
-// first that is given up ends the others, so that changes made meanwhile are heard.
+// After a short outage the platform may never answer the watches that were pending. The first one that
+// fails must cancel the others, so that changes made meanwhile are read.
 func TestPendingWatchesAreCancelledWhenOneFails(t *testing.T) {
 	c := qt.New(t)
 	feed := &blockingWatches{calls: make(chan watchCall, 100), failing: make(chan struct{})}
@@ -87,15 +87,15 @@
 	for {
 		call := next(c, "a call for the changes of servers", feed.calls)
 		if call.table == lovageyard.TableServers {
-			// It does not wait: whether the platform answers again is to show at once.
+			// The call does not wait, so that it shows quickly whether the platform answers again.
 			c.Assert(call.wait, qt.Equals, time.Duration(0))
 			return
 		}
 	}
 }
 
-// A call that is lost is noticed well within the time in which changes have to be in force, which
-// operators count from four seconds after the end of an outage.
+// A lost watch must be detected well within the time limit for changes, which operators count from four
+// seconds after the end of an outage.
 func TestCallsForConfigurationsAndServersDoNotWaitLong(t *testing.T) {
 	const longest = 3 * time.Second
 	c := qt.New(t)
@@ -124,7 +124,7 @@
 	return f.Feed.Watch(ctx, table, after, wait)
 }
 
-// While the platform is away, the relays look for its return, and the others mostly leave that to them.
+// During an outage the relays poll the platform; other instances must make few calls.
 func TestFewInstancesProbeThePlatformDuringAnOutage(t *testing.T) {
 	const count, enough = 6, 60
 	g := newGroup(t)
@@ -150,7 +150,7 @@
 	for name, feed := range feeds {
 		before[name] = feed.calls.Load()
 	}
-	g.until("the relays have looked often", func() bool {
+	g.until("many calls of the relays", func() bool {
 		for _, name := range relays {
 			if feeds[name].calls.Load()-before[name] < enough {
 				return false
--- a/fleet/version_test.go
+++ b/fleet/version_test.go
@@ -13,9 +13,9 @@
 	"lovageyard.example/lovageyard/platform"
 )
 
-// An instance of an older version asks beside this one, as in a rolling replacement. It does not say
-// that it reads compressed rows: to it they would be rows without values, its cursor would go on, and the
-// change would be lost on it until it reads the platform itself.
+// During a rolling upgrade a peer of an older version does not announce that it reads compressed rows. It
+// would decode them as rows without values and advance its cursor, and would lose the change until it reads
+// the platform itself.
 func TestOlderPeerGetsUncompressedRows(t *testing.T) {
 	g := newGroup(t)
 	for n := range 20 {
@@ -44,20 +44,20 @@
 	g.c.Assert(ask(9)[0].GetForm(), qt.Equals, int32(1))
 }
 
-// newerPeer is a peer of a later version that sends rows in a form which this one does not know.
+// newerPeer is a peer of a later version that sends rows in an unknown encoding.
 type newerPeer struct {
-	asked atomic.Int64
+	calls atomic.Int64
 }
 
 func (l *newerPeer) Share(context.Context, string, *wire.ShareRequest) (*wire.ShareReply, error) {
-	l.asked.Add(1)
+	l.calls.Add(1)
 	return &wire.ShareReply{Changes: []*wire.TableChanges{{
 		Table: lovageyard.TableOrders, Form: 99,
 		Changes: &wire.Changes{To: 1 << 40, Rows: []*wire.Row{{Table: lovageyard.TableOrders, Key: "config", Version: 1 << 40}}},
 	}}}, nil
 }
 
-// Changes in a form that is not known are no changes that were seen.
+// Changes in an unknown encoding must not advance the cursor.
 func TestUnknownEncodingIsRejected(t *testing.T) {
 	g := newGroup(t)
 	client := platform.NewStore(g.address, discardLogger())
@@ -67,7 +67,7 @@
 	control := g.startWith(s)
 	defer g.stop("entry-0")
 	g.until("readiness", func() bool { return control.View().Ready })
-	g.until("answers of the later version", func() bool { return peer.asked.Load() >= 3 })
+	g.until("answers of the later version", func() bool { return peer.calls.Load() >= 3 })
 	g.c.Assert(control.View().Cursors[lovageyard.TableOrders] < 1<<40, qt.IsTrue)
 	next := version(control) + 1
 	g.store.PutConfiguration(lovageyard.Configuration{Version: next})
--- a/fleet/waits.go
+++ b/fleet/waits.go
@@ -5,14 +5,15 @@
 	"sync"
 )
 
-// pendingWatches holds the calls that wait for changes, so that they can be given up together: a platform
-// that falls silent for a moment may never answer any of them.
+// pendingWatches holds the cancel functions of the watches that are waiting for changes, by table. They
+// are cancelled together: after a short outage the platform may never answer any of them. It is safe
+// for concurrent use.
 type pendingWatches struct {
 	mu     sync.Mutex
 	cancel map[string]context.CancelFunc
 }
 
-// add returns the context of a call that waits for the changes of a table, and what ends it.
+// add returns the context of a watch of a table, and a function that removes and cancels the watch.
 func (w *pendingWatches) add(ctx context.Context, table string) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	w.mu.Lock()
@@ -29,7 +30,7 @@
 	}
 }
 
-// cancelAll ends all calls that wait.
+// cancelAll cancels all pending watches.
 func (w *pendingWatches) cancelAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
