--- a/peer/changes.go
+++ b/peer/changes.go
@@ -12,48 +12,49 @@
 	"lovageyard.example/lovageyard/peer/wire"
 )
 
-// Sizes of rows.
+// Limits of compression.
 const (
-	// zipFrom is the size in bytes from which on a value is compressed.
-	zipFrom = 512
-	// maxValue bounds what a compressed value may grow to, in bytes.
-	maxValue = 16 << 20
-	// packFrom is the number of rows from which on they are compressed together.
-	packFrom = 8
-	// minWindow is the smallest window that the compressor takes, in bytes.
-	minWindow = 1 << 10
-	// dictionary is the number that frames name the base by.
-	dictionary = 1
+	// minCompressSize is the size of the smallest value, in bytes, that is compressed.
+	minCompressSize = 512
+	// maxValueSize is the maximum size of a decompressed value, in bytes.
+	maxValueSize = 16 << 20
+	// minPackedRows is the least number of rows that are compressed together.
+	minPackedRows = 8
+	// minWindowSize is the smallest window that the compressor supports, in bytes.
+	minWindowSize = 1 << 10
+	// dictionaryID is the dictionary ID of the base in compressed frames.
+	dictionaryID = 1
 )
 
-// Forms of rows on the wire. A peer of the version before may read fewer of them, and a form that it
-// doesn't read would look to it like a row without a value: the sender keeps to what the peer
-// says that it reads, and a receiver takes in no form that it doesn't know.
+// Encodings of rows on the wire. A peer of an older version may not read the newest encoding, and would
+// decode it as rows without values. So a sender uses only encodings that the peer announces, and a
+// receiver rejects encodings that it does not know.
 const (
-	// EncodingPlain has values as they are.
+	// EncodingPlain has uncompressed values.
 	EncodingPlain int32 = iota
-	// EncodingCompressed may have compressed values, differences from older ones and whole tables compressed.
+	// EncodingCompressed may have compressed values, deltas from older values, and compressed tables.
 	EncodingCompressed
-	// NewestEncoding is the newest form that this version reads.
+	// NewestEncoding is the newest encoding that this version reads.
 	NewestEncoding = EncodingCompressed
 )
 
-// BaseLookup returns the older row that a receiver holds in place of a row, if it is known.
+// BaseLookup returns the older version of a row that the receiver has, and false if it is not known.
 type BaseLookup func(r lovageyard.Row) (lovageyard.Row, bool)
 
-// NoBase knows of no older rows.
+// NoBase is the BaseLookup of a receiver without older rows; values are then sent in full.
 func NoBase(lovageyard.Row) (lovageyard.Row, bool) { return lovageyard.Row{}, false }
 
-// FromChanges returns the wire form of changes; long values are compressed, as the rows
-// of plans repeat themselves.
+// FromChanges returns the wire form of changes with long values compressed, in full; the rows of plans
+// are repetitive and compress well.
 func FromChanges(c lovageyard.Changes) *wire.Changes {
 	return new(Encoder).EncodeChanges(c, NoBase)
 }
 
-// Encoder turns changes into their wire form. It compresses a value once for all peers that
-// hold the same older one; it belongs to one goroutine.
+// Encoder converts changes to their wire form. It caches compressed values, so that a value is compressed
+// once for all peers that have the same base. The zero value is ready to use; it is not safe for
+// concurrent use.
 type Encoder struct {
-	packed map[rowKey]*packedRow
+	compressed map[rowKey]*compressedRow
 }
 
 type rowKey struct {
@@ -61,33 +62,33 @@
 	key   string
 }
 
-// packedRow holds the compressed forms of the newest version of a row, by the version of their base.
-type packedRow struct {
+// compressedRow holds the compressed values of the newest version of a row, by the version of the base.
+type compressedRow struct {
 	version int64
-	forms   map[int64][]byte
+	byBase  map[int64][]byte
 }
 
-// EncodeChanges returns the wire form of changes. A value of which the receiver holds an older
-// one is sent as the difference: one route more in a configuration of 760 KB takes 0.2 KB,
-// 1,400 routes more take 24 KB, all of it 70 KB.
-func (p *Encoder) EncodeChanges(c lovageyard.Changes, baseOf BaseLookup) *wire.Changes {
+// EncodeChanges returns the wire form of changes. If the receiver has an older value of a row, the delta is
+// sent: for a configuration of 760 KB, one additional route takes 0.2 KB and 1,400 additional routes
+// take 24 KB, while the full value takes 70 KB.
+func (e *Encoder) EncodeChanges(c lovageyard.Changes, baseOf BaseLookup) *wire.Changes {
 	w := &wire.Changes{After: c.After, To: c.To}
 	for _, r := range c.Rows {
-		w.Rows = append(w.Rows, p.fromRow(r, baseOf))
+		w.Rows = append(w.Rows, e.encodeRow(r, baseOf))
 	}
 	return w
 }
 
-func (p *Encoder) fromRow(r lovageyard.Row, baseOf BaseLookup) *wire.Row {
-	w := plainRow(r)
-	if len(r.Value) < zipFrom {
+func (e *Encoder) encodeRow(r lovageyard.Row, baseOf BaseLookup) *wire.Row {
+	w := encodePlainRow(r)
+	if len(r.Value) < minCompressSize {
 		return w
 	}
 	base, found := baseOf(r)
 	if !found {
 		base = lovageyard.Row{}
 	}
-	if zipped := p.compressRow(r, base); len(zipped) < len(r.Value) {
+	if zipped := e.compressRow(r, base); len(zipped) < len(r.Value) {
 		w.Value = nil
 		w.Zipped = zipped
 		w.Base = base.Version
@@ -95,33 +96,33 @@
 	return w
 }
 
-// compressRow returns the compressed value of a row, worked out once for each base.
-func (p *Encoder) compressRow(r, base lovageyard.Row) []byte {
-	if p.packed == nil {
-		p.packed = make(map[rowKey]*packedRow)
+// compressRow returns the compressed value of a row, from the cache if possible.
+func (e *Encoder) compressRow(r, base lovageyard.Row) []byte {
+	if e.compressed == nil {
+		e.compressed = make(map[rowKey]*compressedRow)
 	}
 	key := rowKey{table: r.Table, key: r.Key}
-	known := p.packed[key]
+	known := e.compressed[key]
 	if known == nil || known.version != r.Version {
-		known = &packedRow{version: r.Version, forms: make(map[int64][]byte)}
-		p.packed[key] = known
+		known = &compressedRow{version: r.Version, byBase: make(map[int64][]byte)}
+		e.compressed[key] = known
 	}
-	zipped, found := known.forms[base.Version]
+	zipped, found := known.byBase[base.Version]
 	if !found {
 		zipped = compressDelta(r.Value, base.Value)
-		known.forms[base.Version] = zipped
+		known.byBase[base.Version] = zipped
 	}
 	return zipped
 }
 
-// EncodeTable returns the changes of one table for a peer that reads a form. Many small rows are compressed
-// together, as they are much alike.
-func (p *Encoder) EncodeTable(table string, c lovageyard.Changes, baseOf BaseLookup, reads int32) (*wire.TableChanges, error) {
+// EncodeTable returns the changes of one table for a peer whose newest encoding is reads. Many rows are
+// compressed together, as small rows are similar to each other.
+func (e *Encoder) EncodeTable(table string, c lovageyard.Changes, baseOf BaseLookup, reads int32) (*wire.TableChanges, error) {
 	if reads < EncodingCompressed {
-		return &wire.TableChanges{Table: table, Changes: plainChanges(c), Form: EncodingPlain}, nil
+		return &wire.TableChanges{Table: table, Changes: encodePlainChanges(c), Form: EncodingPlain}, nil
 	}
-	t := &wire.TableChanges{Table: table, Changes: p.EncodeChanges(c, baseOf), Form: EncodingCompressed}
-	if len(c.Rows) < packFrom {
+	t := &wire.TableChanges{Table: table, Changes: e.EncodeChanges(c, baseOf), Form: EncodingCompressed}
+	if len(c.Rows) < minPackedRows {
 		return t, nil
 	}
 	whole, err := proto.Marshal(t.GetChanges())
@@ -134,23 +135,24 @@
 	return t, nil
 }
 
-// plainChanges returns the wire form of changes with all values as they are.
-func plainChanges(c lovageyard.Changes) *wire.Changes {
+// encodePlainChanges returns the wire form of changes without compression.
+func encodePlainChanges(c lovageyard.Changes) *wire.Changes {
 	w := &wire.Changes{After: c.After, To: c.To}
 	for _, r := range c.Rows {
-		w.Rows = append(w.Rows, plainRow(r))
+		w.Rows = append(w.Rows, encodePlainRow(r))
 	}
 	return w
 }
 
-func plainRow(r lovageyard.Row) *wire.Row {
+func encodePlainRow(r lovageyard.Row) *wire.Row {
 	return &wire.Row{Table: r.Table, Key: r.Key, Version: r.Version, Value: r.Value, Deleted: r.Deleted}
 }
 
-// DecodeTable returns the changes that a peer has sent, or an error if they can't be read.
+// DecodeTable returns the changes that a peer has sent. It returns an error if their encoding is unknown or
+// they can't be decompressed.
 func DecodeTable(t *wire.TableChanges) (*wire.Changes, error) {
 	if t.GetForm() > NewestEncoding {
-		return nil, errors.Errorf("changes of %s: form %d is not read here", t.GetTable(), t.GetForm())
+		return nil, errors.Errorf("changes of %s: unknown encoding %d", t.GetTable(), t.GetForm())
 	}
 	if len(t.GetPacked()) == 0 {
 		return t.GetChanges(), nil
@@ -163,58 +165,58 @@
 	return changes, errors.Wrap(proto.Unmarshal(whole, changes), "changes of "+t.GetTable())
 }
 
-// Compress returns a compressed value.
+// Compress returns a value compressed with zstd, without a base.
 func Compress(value []byte) []byte {
 	return compressDelta(value, nil)
 }
 
-// compressDelta returns a compressed value, as the difference from a base if that is not empty.
+// compressDelta returns a value compressed with a base as the dictionary, or without one if it is empty.
 func compressDelta(value, base []byte) []byte {
 	if len(base) == 0 {
-		return wholeWriter().EncodeAll(value, nil)
+		return sharedCompressor().EncodeAll(value, nil)
 	}
-	w, err := newWriter(
-		zstd.WithWindowSize(max(minWindow, 1<<bits.Len(uint(len(value)+len(base))))),
-		zstd.WithEncoderDictRaw(dictionary, base),
+	w, err := newCompressor(
+		zstd.WithWindowSize(max(minWindowSize, 1<<bits.Len(uint(len(value)+len(base))))),
+		zstd.WithEncoderDictRaw(dictionaryID, base),
 	)
 	if err != nil {
-		// A value without its compressed form is sent as it is.
+		// The caller then sends the value uncompressed, as it is no shorter.
 		return value
 	}
 	defer w.Close()
 	return w.EncodeAll(value, nil)
 }
 
-// wholeWriter and wholeReader serve all values without a base, as their tables take long to make.
+// sharedCompressor and sharedDecompressor are used for all values without a base, as creating one is slow.
 var (
-	wholeWriter = sync.OnceValue(func() *zstd.Encoder {
-		w, err := newWriter()
+	sharedCompressor = sync.OnceValue(func() *zstd.Encoder {
+		w, err := newCompressor()
 		if err != nil {
-			panic(errors.Wrap(err, "fixed options of the compressor"))
+			panic(errors.Wrap(err, "create compressor with constant options"))
 		}
 		return w
 	})
-	wholeReader = sync.OnceValue(func() *zstd.Decoder {
-		r, err := newReader()
+	sharedDecompressor = sync.OnceValue(func() *zstd.Decoder {
+		r, err := newDecompressor()
 		if err != nil {
-			panic(errors.Wrap(err, "fixed options of the decompressor"))
+			panic(errors.Wrap(err, "create decompressor with constant options"))
 		}
 		return r
 	})
 )
 
-func newWriter(options ...zstd.EOption) (*zstd.Encoder, error) {
+func newCompressor(options ...zstd.EOption) (*zstd.Encoder, error) {
 	options = append(options, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 	return zstd.NewWriter(nil, options...)
 }
 
-func newReader(options ...zstd.DOption) (*zstd.Decoder, error) {
-	options = append(options, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxValue))
+func newDecompressor(options ...zstd.DOption) (*zstd.Decoder, error) {
+	options = append(options, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxValueSize))
 	return zstd.NewReader(nil, options...)
 }
 
-// ToRow returns the row of a wire message, or an error if its value can't be read; base is the
-// value that it may be a difference from.
+// ToRow returns the row of a wire message. The base is the value from which the message may be a delta. It
+// returns an error if the value can't be decompressed.
 func ToRow(table string, w *wire.Row, base []byte) (lovageyard.Row, error) {
 	r := lovageyard.Row{Table: table, Key: w.GetKey(), Version: w.GetVersion(), Value: w.GetValue(), Deleted: w.GetDeleted()}
 	if len(w.GetZipped()) == 0 {
@@ -225,7 +227,8 @@
 	return r, errors.Wrap(err, "row "+r.Table+"/"+r.Key)
 }
 
-// ToChanges returns the changes of a wire message, or an error if a row can't be read.
+// ToChanges returns the changes of a wire message whose values have no base, or an error if one can't be
+// decompressed.
 func ToChanges(w *wire.Changes) (lovageyard.Changes, error) {
 	c := lovageyard.Changes{After: w.GetAfter(), To: w.GetTo()}
 	for _, sent := range w.GetRows() {
@@ -238,19 +241,19 @@
 	return c, nil
 }
 
-// Decompress returns the value of a compressed one, or an error if it is damaged or too large.
+// Decompress reverses Compress. It returns an error if the data are corrupt or the value is larger than 16 MB.
 func Decompress(zipped []byte) ([]byte, error) {
 	return decompressDelta(zipped, nil)
 }
 
 func decompressDelta(zipped, base []byte) ([]byte, error) {
 	if len(base) == 0 {
-		value, err := wholeReader().DecodeAll(zipped, nil)
+		value, err := sharedDecompressor().DecodeAll(zipped, nil)
 		return value, errors.Wrap(err, "compressed value")
 	}
-	r, err := newReader(zstd.WithDecoderDictRaw(dictionary, base))
+	r, err := newDecompressor(zstd.WithDecoderDictRaw(dictionaryID, base))
 	if err != nil {
-		return nil, errors.Wrap(err, "base of a compressed value")
+		return nil, errors.Wrap(err, "create decompressor for a delta")
 	}
 	defer r.Close()
 	value, err := r.DecodeAll(zipped, nil)
--- a/peer/changes_test.go
+++ b/peer/changes_test.go
@@ -16,7 +16,7 @@
 	"lovageyard.example/lovageyard/peer/wire"
 )
 
-func TestChangesKeepTheirRows(t *testing.T) {
+func TestChangesRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	long := bytes.Repeat([]byte("0,1,2,"), 3000)
 	want := lovageyard.Changes{After: 3, To: 9, Rows: []lovageyard.Row{
@@ -31,8 +31,8 @@
 	c.Assert(got, qt.DeepEquals, want)
 }
 
-func TestBadRowsAreRefused(t *testing.T) {
-	bomb := Compress(make([]byte, maxValue+1))
+func TestInvalidRowsAreRejected(t *testing.T) {
+	bomb := Compress(make([]byte, maxValueSize+1))
 	for _, zipped := range [][]byte{[]byte("no zstd"), bomb, bomb[:len(bomb)/2]} {
 		c := qt.New(t)
 		_, err := ToChanges(&wire.Changes{Rows: []*wire.Row{{Table: "plans", Key: "bad", Zipped: zipped}}})
@@ -40,8 +40,8 @@
 	}
 }
 
-// A value is read from the difference to whatever older value the receiver holds.
-func TestDifferencesKeepTheirRows(t *testing.T) {
+// A value must be decodable from the delta to any older value.
+func TestDeltasRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
 		base := textOf(rapid.IntRange(0, 3<<20).Draw(t, "size of the base"))
@@ -61,7 +61,7 @@
 	})
 }
 
-// textOf returns text of a size that compresses as a list of routes does.
+// textOf returns text of a size that compresses as well as a list of routes.
 func textOf(size int) []byte {
 	var b bytes.Buffer
 	for n := 0; b.Len() < size; n++ {
@@ -70,7 +70,7 @@
 	return b.Bytes()[:size]
 }
 
-// A configuration of 1 MB is not compressed anew for each of the peers that lack it.
+// A configuration of 1 MB must not be compressed separately for each peer.
 func TestValueIsCompressedOnceForEachBase(t *testing.T) {
 	c := qt.New(t)
 	p := new(Encoder)
@@ -86,7 +86,7 @@
 	c.Assert(got, qt.DeepEquals, row)
 }
 
-func TestAppliedKeepsItsCells(t *testing.T) {
+func TestPlacementRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	want := move.Placement{Step: 4}
 	home := move.Home{FailureDomain: "a"}
@@ -100,7 +100,7 @@
 	c.Assert(ToPlacement(bad).Homes, qt.HasLen, 0)
 }
 
-func TestRatesKeepTheirSize(t *testing.T) {
+func TestRatesRoundTripWithinTolerance(t *testing.T) {
 	c := qt.New(t)
 	var rates []float64
 	for rate := 0.01; rate < 20000; rate *= 1.07 {
--- a/peer/client.go
+++ b/peer/client.go
@@ -12,79 +12,82 @@
 	"lovageyard.example/lovageyard/transfer"
 )
 
-// Bounds of one call to a peer.
+// Timeouts of calls to peers.
 const (
-	// callTimeout is how long a peer may take to begin its answer beyond the time that the call
-	// may wait, and how long it may pause within it.
+	// callTimeout is the timeout for the response header, beyond the time that the call may wait at the
+	// peer, and the idle timeout while the response is read.
 	callTimeout = time.Second
-	// callLongest bounds a call beyond that time, however well it goes on: a row of 1 MB takes 0.8 s
-	// on a link of 10 Mbit/s, and several times as long beside others.
-	callLongest = 30 * time.Second
-	// keepAlive finds, while a call waits, a peer that has gone silent.
-	keepAlive   = time.Second
-	dialTimeout = 500 * time.Millisecond
-	idleTimeout = 10 * time.Second
+	// maxCallDuration limits the whole call beyond its wait time, even if bytes keep arriving: a row of
+	// 1 MB takes 0.8 s on a link of 10 Mbit/s, and several times as long with concurrent transfers.
+	maxCallDuration = 30 * time.Second
+	// keepAliveInterval is the interval of TCP keep-alive probes, which detect a peer that has stopped
+	// answering while a call waits.
+	keepAliveInterval = time.Second
+	dialTimeout       = 500 * time.Millisecond
+	idleTimeout       = 10 * time.Second
 )
 
-// Client calls other entry instances.
+// Client calls other entry instances. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a client.
+// NewClient returns a client with its own connection pool; Close closes its idle connections.
 func NewClient() *Client {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAlive, Interval: keepAlive, Count: 2},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 2},
 	}
 	transport := &http.Transport{DialContext: dialer.DialContext, IdleConnTimeout: idleTimeout}
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// within returns a client for calls of which the answer may wait so long.
-func (c *Client) within(wait time.Duration) transfer.Client {
+// transferClient returns an HTTP client for calls whose answer may take the given wait time.
+func (c *Client) transferClient(wait time.Duration) transfer.Client {
 	return transfer.Client{
 		HTTP:     c.http,
-		Timeouts: transfer.Timeouts{ResponseHeader: wait + callTimeout, Idle: callTimeout, Total: wait + callLongest},
+		Timeouts: transfer.Timeouts{ResponseHeader: wait + callTimeout, Idle: callTimeout, Total: wait + maxCallDuration},
 	}
 }
 
-// Exchange sends one exchange to the peer at an address.
+// Exchange sends members and versions to the peer at an address, and returns the peer's.
 func (c *Client) Exchange(ctx context.Context, address string, r *wire.ExchangeRequest) (*wire.ExchangeReply, error) {
-	reply, err := wire.NewPeersProtobufClient("http://"+address, c.within(0)).Exchange(ctx, r)
+	reply, err := wire.NewPeersProtobufClient("http://"+address, c.transferClient(0)).Exchange(ctx, r)
 	if err != nil {
-		// A connection that has gone silent is not used again.
+		// Do not reuse a connection that may be dead.
 		c.http.CloseIdleConnections()
 		return nil, errors.Wrap(err, "exchange with "+address)
 	}
 	return reply, nil
 }
 
-// Share exchanges liveness and the platform's rows with the peer at an address.
+// Share exchanges heartbeats and the platform's rows with the peer at an address. The peer may delay the
+// answer by the request's wait time.
 func (c *Client) Share(ctx context.Context, address string, r *wire.ShareRequest) (*wire.ShareReply, error) {
-	client := c.within(time.Duration(r.GetWaitMs()) * time.Millisecond)
+	client := c.transferClient(time.Duration(r.GetWaitMs()) * time.Millisecond)
 	reply, err := wire.NewFleetProtobufClient("http://"+address, client).Share(ctx, r)
 	if err != nil {
-		// A connection that has gone silent is not used again.
+		// Do not reuse a connection that may be dead.
 		c.http.CloseIdleConnections()
 		return nil, errors.Wrap(err, "share with "+address)
 	}
 	return reply, nil
 }
 
-// Settle reports what was used of accounts' limits to their owner at an address.
+// Settle reports the use of accounts' limits to the instance at an address, which owns them, and returns the
+// tokens that it grants.
 func (c *Client) Settle(ctx context.Context, address string, r *wire.SettleRequest) (*wire.SettleReply, error) {
-	reply, err := wire.NewQuotaProtobufClient("http://"+address, c.within(0)).Settle(ctx, r)
+	reply, err := wire.NewQuotaProtobufClient("http://"+address, c.transferClient(0)).Settle(ctx, r)
 	return reply, errors.Wrap(err, "settle with "+address)
 }
 
-// Report sends measured demand to the peer at an address.
+// Report sends measured demand to the peer at an address, a relay or the planner.
 func (c *Client) Report(ctx context.Context, address string, r *wire.DemandReport) error {
-	_, err := wire.NewPeersProtobufClient("http://"+address, c.within(0)).Report(ctx, r)
+	_, err := wire.NewPeersProtobufClient("http://"+address, c.transferClient(0)).Report(ctx, r)
 	return errors.Wrap(err, "report to "+address)
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections; the client can still be used.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -7,7 +7,7 @@
 	"lovageyard.example/lovageyard/peer/wire"
 )
 
-// FromMember returns the wire form of a member.
+// FromMember returns the wire form of a member; its age is not part of it.
 func FromMember(m instance.Member) *wire.Member {
 	w := &wire.Member{
 		Instance:        m.Name,
@@ -27,7 +27,7 @@
 	return w
 }
 
-// FromSteps returns the wire form of steps.
+// FromSteps returns the wire form of the steps of a member.
 func FromSteps(steps []instance.Step) []*wire.Step {
 	var out []*wire.Step
 	for _, s := range steps {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// ToSteps returns the steps of a wire message.
+// ToSteps returns the steps of a wire message, in the same order.
 func ToSteps(steps []*wire.Step) []instance.Step {
 	var out []instance.Step
 	for _, s := range steps {
@@ -45,7 +45,7 @@
 	return out
 }
 
-// ToMember returns the member of a wire message.
+// ToMember returns the member of a wire message, with an age of 0.
 func ToMember(w *wire.Member) instance.Member {
 	m := instance.Member{Heartbeat: w.GetHeartbeat(), Version: w.GetVersion(), Steps: ToSteps(w.GetSteps())}
 	m.EntryInstance = lovageyard.EntryInstance{
@@ -63,7 +63,7 @@
 	return m
 }
 
-// FromPlacement returns the wire form of the placement that is applied for a class.
+// FromPlacement returns the wire form of the placement that an instance applies for a class.
 func FromPlacement(class string, a move.Placement) *wire.Applied {
 	w := &wire.Applied{Class: class, Step: a.Step}
 	positions := make(map[string]int32)
@@ -91,14 +91,14 @@
 	return w
 }
 
-// ToPlacement returns the placement of a wire message; homes whose cells are not
-// complete or name no known site are left out.
+// ToPlacement returns the placement of a wire message. Homes with missing cells or an invalid site index
+// are left out.
 func ToPlacement(w *wire.Applied) move.Placement {
 	a := move.Placement{Step: w.GetStep()}
 	for _, h := range w.GetHomes() {
 		home := move.Home{FailureDomain: h.GetFailureDomain()}
 		for _, c := range h.GetCells() {
-			if !known(w, c.GetSite()) || !known(w, c.GetNext()) {
+			if !isKnownSite(w, c.GetSite()) || !isKnownSite(w, c.GetNext()) {
 				break
 			}
 			home.Cells = append(home.Cells, move.Cell{
@@ -115,6 +115,6 @@
 	return a
 }
 
-func known(w *wire.Applied, site int32) bool {
+func isKnownSite(w *wire.Applied, site int32) bool {
 	return site >= 0 && int(site) < len(w.GetSites())
 }
--- a/peer/wire/doc.go
+++ b/peer/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire holds the messages that entry instances exchange, as generated from
-// wire.proto. To generate it anew, run scripts/generate.
+// Package wire contains the messages and services of the protocol between entry instances, generated
+// from the .proto files in this folder. Run scripts/generate after changing one of them.
 package wire
