--- a/block/block.go
+++ b/block/block.go
@@ -11,42 +11,42 @@
 	"lovageyard.example/lovageyard"
 )
 
-// ObjectName is the name under which the platform's object store keeps the table of blocks.
+// ObjectName is the name of the table of blocks in the platform's object store.
 const ObjectName = "blocks"
 
-// Prefix lengths of the block of a client that no entry of the table covers.
+// Prefix lengths of the blocks of clients, IPv4 and IPv6, that no entry of the table contains.
 const (
-	defaultBits4 = 24
-	defaultBits6 = 48
+	defaultPrefixBits4 = 24
+	defaultPrefixBits6 = 48
 )
 
 const bucketShift = 58
 
-// Entry gives the home failure domain of the clients of one prefix.
+// Entry assigns a home failure domain to the clients of one prefix.
 type Entry struct {
 	Prefix        netip.Prefix `json:"prefix"`
 	FailureDomain string       `json:"failure-domain"`
 }
 
-// Location is where a client's block belongs.
+// Location is a client's block, with its home and bucket.
 type Location struct {
-	// Block is the prefix that the client is in.
+	// Block is the prefix that contains the client's address.
 	Block netip.Prefix
-	// Home is the block's home failure domain, or "" if the table does not say.
+	// Home is the block's home failure domain, or "" if the table has none for it.
 	Home string
 	// Bucket is the block's bucket, 0 to lovageyard.Buckets-1.
 	Bucket int
-	// Hash spreads blocks evenly.
+	// Hash is a uniformly distributed hash of the block.
 	Hash uint64
 }
 
-// Table finds the place of a client; it is immutable.
+// Table maps clients to locations. It is immutable and safe for concurrent use.
 type Table struct {
 	starts  []netip.Addr
 	entries []Entry
 }
 
-// Decode reads the JSON form of a table; overlapping prefixes are an error.
+// Decode returns the table of a JSON array of entries. See NewTable for the errors.
 func Decode(data []byte) (*Table, error) {
 	var entries []Entry
 	if err := json.Unmarshal(data, &entries); err != nil {
@@ -55,7 +55,8 @@
 	return NewTable(entries)
 }
 
-// NewTable returns the table of the entries.
+// NewTable returns a table with the given entries. It returns an error if a prefix is invalid or overlaps
+// another, or if an entry has no failure domain.
 func NewTable(entries []Entry) (*Table, error) {
 	sorted := slices.Clone(entries)
 	for i, e := range sorted {
@@ -83,12 +84,12 @@
 	return t, nil
 }
 
-// Len returns the number of entries.
+// Len returns the number of entries of the table.
 func (t *Table) Len() int {
 	return len(t.entries)
 }
 
-// Find returns the place of a client; it allocates nothing.
+// Find returns the location of a client, or the zero Location for an invalid address. It does not allocate.
 func (t *Table) Find(client netip.Addr) Location {
 	if !client.IsValid() {
 		return Location{}
@@ -100,20 +101,20 @@
 	}
 	if position >= 0 && t.entries[position].Prefix.Contains(client) {
 		e := t.entries[position]
-		return locate(e.Prefix, e.FailureDomain)
+		return locationOf(e.Prefix, e.FailureDomain)
 	}
-	bits := defaultBits6
+	bits := defaultPrefixBits6
 	if client.Is4() {
-		bits = defaultBits4
+		bits = defaultPrefixBits4
 	}
 	prefix, err := client.Prefix(bits)
 	if err != nil {
 		return Location{}
 	}
-	return locate(prefix, "")
+	return locationOf(prefix, "")
 }
 
-func locate(prefix netip.Prefix, home string) Location {
+func locationOf(prefix netip.Prefix, home string) Location {
 	raw := prefix.Addr().As16()
 	sum := xxhash.Sum64(raw[:])
 	return Location{
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -97,12 +97,12 @@
 	near := lovageyard.EntryInstance{Name: "near-1", FailureDomain: "near", CallerAddress: "near:1", State: lovageyard.StateLive}
 	far := lovageyard.EntryInstance{Name: "far-1", FailureDomain: "far", CallerAddress: "far:1", State: lovageyard.StateLive}
 	r.snapshot = &route.Snapshot{
-		Version:   7,
-		Home:      "near",
-		KeepFor:   5 * time.Second,
-		Classes:   class.NewIndex(classes),
-		Blocks:    blocks,
-		Directory: instance.NewDirectory([]lovageyard.EntryInstance{far, near}),
+		Version:     7,
+		DefaultHome: "near",
+		LookUpTTL:   5 * time.Second,
+		Classes:     class.NewIndex(classes),
+		Blocks:      blocks,
+		Directory:   instance.NewDirectory([]lovageyard.EntryInstance{far, near}),
 	}
 	for _, k := range classes {
 		gate := move.NewLimiter(k.Target.Cap, 100)
@@ -110,7 +110,7 @@
 			Class:           k,
 			Limiter:         gate,
 			FailoverLimiter: gate,
-			Budget:          server.NewRetryBudget(),
+			RetryBudget:     server.NewRetryBudget(),
 			Sites:           []route.Site{{Name: "near", Pool: r.pool, Allowance: grant.NewTokenBucket(0, now), Local: true}},
 		})
 	}
--- a/caller/forward.go
+++ b/caller/forward.go
@@ -109,7 +109,7 @@
 	if !x.claim() {
 		return
 	}
-	x.work.Budget.Deposit()
+	x.work.RetryBudget.Deposit()
 	for x.attempt = 1; ; x.attempt++ {
 		failure := x.try()
 		if failure == nil {
@@ -151,7 +151,7 @@
 	if !x.body.whole() {
 		return false
 	}
-	return x.work.Budget.Withdraw()
+	return x.work.RetryBudget.Withdraw()
 }
 
 // try makes one attempt; nil means that the caller has its answer.
--- a/caller/lookup.go
+++ b/caller/lookup.go
@@ -66,7 +66,7 @@
 	answer := LookUp{
 		Class:     name,
 		Version:   s.Version,
-		KeepForMs: s.KeepFor.Milliseconds(),
+		KeepForMs: s.LookUpTTL.Milliseconds(),
 		Instances: make([]LookUpInstance, 0, ranking.Count),
 	}
 	for _, position := range ranking.Positions[:ranking.Count] {
--- a/control/publish.go
+++ b/control/publish.go
@@ -20,13 +20,13 @@
 func (c *Control) publish() {
 	c.dirty = false
 	s := &route.Snapshot{
-		Version:   c.config.Version(),
-		Home:      c.self.FailureDomain,
-		KeepFor:   c.settings.KeepFor,
-		Leaving:   c.self.State != lovageyard.StateLive,
-		Classes:   c.index,
-		Blocks:    c.blocks,
-		Directory: instance.NewDirectory(c.members.Live()),
+		Version:     c.config.Version(),
+		DefaultHome: c.self.FailureDomain,
+		LookUpTTL:   c.settings.KeepFor,
+		Leaving:     c.self.State != lovageyard.StateLive,
+		Classes:     c.index,
+		Blocks:      c.blocks,
+		Directory:   instance.NewDirectory(c.members.Live()),
 	}
 	for _, k := range c.index.All() {
 		w := c.works[k.Name]
@@ -44,7 +44,7 @@
 		Step:            w.plan.Step,
 		Limiter:         w.stepper.Limiter(),
 		FailoverLimiter: w.forced,
-		Budget:          w.budget,
+		RetryBudget:     w.budget,
 		HomeCounts:      w.counts,
 	}
 	if w.stepper.Initialized() {
--- a/inbox/inbox.go
+++ b/inbox/inbox.go
@@ -5,46 +5,49 @@
 	"sync"
 )
 
-// Message changes the state that an owner's goroutine holds.
+// Message is a change of the state that the owner's goroutine applies.
 type Message[S any] interface {
-	// Apply runs in the owner's goroutine.
+	// Apply changes the state. It runs in the owner's goroutine.
 	Apply(state S)
 }
 
-// Inbox is the way to the owner of a state.
+// Inbox is the mailbox of the owner of a state of type S. Its methods are safe for concurrent use, except
+// those that only the owner may call.
 type Inbox[S any] struct {
 	messages chan Message[S]
 	context  context.Context
 	cancel   context.CancelFunc
 	owner    sync.WaitGroup
 	calls    sync.WaitGroup
-	// calling holds the names of the calls under way; it belongs to the owner.
-	calling map[string]bool
+	// runningCalls holds the names of the calls that are running; it belongs to the owner.
+	runningCalls map[string]bool
 }
 
-// New returns an inbox that holds so many messages before Post waits.
+// New returns an inbox with a buffer for size messages; Post blocks while the buffer is full.
 func New[S any](size int) *Inbox[S] {
-	b := &Inbox[S]{messages: make(chan Message[S], size), calling: make(map[string]bool)}
+	b := &Inbox[S]{messages: make(chan Message[S], size), runningCalls: make(map[string]bool)}
 	b.context, b.cancel = context.WithCancel(context.Background())
 	return b
 }
 
-// Start starts the owner's goroutine, which reads Messages until the context ends.
+// Start runs the owner's goroutine. The function has to apply Messages until Context is cancelled; Close
+// waits for it to return.
 func (b *Inbox[S]) Start(run func()) {
 	b.owner.Go(run)
 }
 
-// Messages returns the messages in the order in which they were posted.
+// Messages returns the channel of posted messages, in the order in which they were posted.
 func (b *Inbox[S]) Messages() <-chan Message[S] {
 	return b.messages
 }
 
-// Context ends when the inbox is closed.
+// Context returns a context that is cancelled when the inbox is closed.
 func (b *Inbox[S]) Context() context.Context {
 	return b.context
 }
 
-// Post hands a message to the owner; it returns false once the inbox is closed.
+// Post sends a message to the owner. It blocks while the buffer is full, and returns false if the inbox
+// is closed first.
 func (b *Inbox[S]) Post(m Message[S]) bool {
 	select {
 	case b.messages <- m:
@@ -54,50 +57,50 @@
 	}
 }
 
-// Go runs f beside the owner; Close waits for its end.
+// Go runs f in a new goroutine; Close waits for it to return.
 func (b *Inbox[S]) Go(f func()) {
 	b.calls.Go(f)
 }
 
-// Call runs f beside the owner and posts its result, unless that is nil or a call of this
-// name is under way. Only the owner calls it.
+// Call runs f in a new goroutine and posts its result, if that is not nil. It does nothing if a call with
+// the same name is running. Only the owner may call it.
 func (b *Inbox[S]) Call(name string, f func(ctx context.Context) Message[S]) {
-	if b.calling[name] {
+	if b.runningCalls[name] {
 		return
 	}
-	b.calling[name] = true
+	b.runningCalls[name] = true
 	b.Go(func() {
-		b.Post(finished[S]{inbox: b, name: name, result: f(b.context)})
+		b.Post(callResult[S]{inbox: b, name: name, result: f(b.context)})
 	})
 }
 
-// IsCalling says whether a call of a name is under way. Only the owner calls it.
+// IsCalling reports whether a call with a name is running. Only the owner may call it.
 func (b *Inbox[S]) IsCalling(name string) bool {
-	return b.calling[name]
+	return b.runningCalls[name]
 }
 
-// IsIdle says whether no call is under way and no message waits. Only the owner calls it.
+// IsIdle reports whether no call is running and no message is buffered. Only the owner may call it.
 func (b *Inbox[S]) IsIdle() bool {
-	return len(b.calling) == 0 && len(b.messages) == 0
+	return len(b.runningCalls) == 0 && len(b.messages) == 0
 }
 
-// Close ends the context and waits for the owner and all calls.
+// Close cancels the context and waits for the owner and all calls to return.
 func (b *Inbox[S]) Close() {
 	b.cancel()
 	b.owner.Wait()
 	b.calls.Wait()
 }
 
-// finished is the end of a call.
-type finished[S any] struct {
+// callResult is the message that ends a call.
+type callResult[S any] struct {
 	inbox  *Inbox[S]
 	name   string
 	result Message[S]
 }
 
-// Apply applies the call's result.
-func (m finished[S]) Apply(state S) {
-	delete(m.inbox.calling, m.name)
+// Apply marks the call as ended and applies its result.
+func (m callResult[S]) Apply(state S) {
+	delete(m.inbox.runningCalls, m.name)
 	if m.result != nil {
 		m.result.Apply(state)
 	}
--- a/inbox/inbox_test.go
+++ b/inbox/inbox_test.go
@@ -15,7 +15,7 @@
 	seen  chan int
 }
 
-// number is a message that adds to the sum.
+// number is a message that adds itself to the sum.
 type number int
 
 func (n number) Apply(s *sum) {
@@ -23,8 +23,8 @@
 	s.seen <- s.total
 }
 
-// own starts the owner of a sum.
-func own(b *inbox.Inbox[*sum]) *sum {
+// startOwner starts the owner of a sum.
+func startOwner(b *inbox.Inbox[*sum]) *sum {
 	s := &sum{seen: make(chan int)}
 	b.Start(func() {
 		for {
@@ -42,7 +42,7 @@
 func TestMessagesAreAppliedInOrder(t *testing.T) {
 	c := qt.New(t)
 	b := inbox.New[*sum](4)
-	s := own(b)
+	s := startOwner(b)
 	for n := range 4 {
 		c.Assert(b.Post(number(n+1)), qt.IsTrue)
 	}
@@ -50,21 +50,21 @@
 		c.Assert(<-s.seen, qt.Equals, want)
 	}
 	b.Close()
-	// There is room for one more only until the context ends.
+	// Post must fail once the context is cancelled, at the latest when the buffer is full.
 	for b.Post(number(1)) {
 	}
 }
 
-// begin is a message that begins two calls of one name.
-type begin struct {
-	inbox *inbox.Inbox[*sum]
-	gate  chan struct{}
+// startCalls is a message that starts two calls with the same name.
+type startCalls struct {
+	inbox   *inbox.Inbox[*sum]
+	release chan struct{}
 }
 
-func (m begin) Apply(s *sum) {
+func (m startCalls) Apply(s *sum) {
 	for range 2 {
 		m.inbox.Call("slow", func(context.Context) inbox.Message[*sum] {
-			<-m.gate
+			<-m.release
 			return number(5)
 		})
 	}
@@ -74,31 +74,31 @@
 	}
 }
 
-func TestOneCallOfANameAtATime(t *testing.T) {
+func TestOnlyOneCallOfANameRuns(t *testing.T) {
 	c := qt.New(t)
 	b := inbox.New[*sum](4)
-	s := own(b)
-	first := begin{inbox: b, gate: make(chan struct{})}
+	s := startOwner(b)
+	first := startCalls{inbox: b, release: make(chan struct{})}
 	b.Post(first)
 	c.Assert(<-s.seen, qt.Equals, 0)
-	close(first.gate)
+	close(first.release)
 	c.Assert(<-s.seen, qt.Equals, 5)
-	second := begin{inbox: b, gate: first.gate}
+	second := startCalls{inbox: b, release: first.release}
 	b.Post(second)
 	c.Assert(<-s.seen, qt.Equals, 0)
 	c.Assert(<-s.seen, qt.Equals, 10)
 	b.Close()
 }
 
-func TestCloseEndsAndAwaitsCalls(t *testing.T) {
+func TestCloseCancelsAndAwaitsCalls(t *testing.T) {
 	c := qt.New(t)
 	b := inbox.New[*sum](1)
-	own(b)
-	ended := false
+	startOwner(b)
+	cancelled := false
 	b.Go(func() {
 		<-b.Context().Done()
-		ended = true
+		cancelled = true
 	})
 	b.Close()
-	c.Assert(ended, qt.IsTrue)
+	c.Assert(cancelled, qt.IsTrue)
 }
--- a/route/snapshot.go
+++ b/route/snapshot.go
@@ -10,23 +10,24 @@
 	"lovageyard.example/lovageyard/instance"
 )
 
-// Snapshot is all that traffic reads of control state; it is immutable.
+// Snapshot is the control state that request handling reads. It is immutable, except for counters and
+// limiters that its ClassRoutes refer to.
 type Snapshot struct {
 	// Version is the configuration version in force.
 	Version int64
-	// Home is this instance's failure domain, the home of clients of unknown blocks.
-	Home string
-	// KeepFor is how long a caller may keep a look-up's answer.
-	KeepFor   time.Duration
+	// DefaultHome is this instance's failure domain. It is the home of clients whose block has none.
+	DefaultHome string
+	// LookUpTTL is how long a caller may cache the answer to a look-up.
+	LookUpTTL time.Duration
 	Leaving   bool
 	Classes   *class.Index
 	Blocks    *block.Table
 	Directory *instance.Directory
-	// ClassRoutes are in the order of Classes.
+	// ClassRoutes holds the routing state of each class, in the order of Classes.
 	ClassRoutes []ClassRoute
 }
 
-// ClassRoute returns what is known of the class of a name, or nil.
+// ClassRoute returns the routing state of the class with a name, or nil if there is none.
 func (s *Snapshot) ClassRoute(name string) *ClassRoute {
 	for i := range s.ClassRoutes {
 		if s.ClassRoutes[i].Class.Name == name {
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// Match returns the work that a request is part of, or nil.
+// Match returns the routing state of the class that a request belongs to, or nil if it matches none.
 func (s *Snapshot) Match(r *http.Request) *ClassRoute {
 	found := s.Classes.Find(r)
 	if found == nil {
@@ -45,16 +46,16 @@
 	return s.ClassRoute(found.Name)
 }
 
-// Locate returns the place of a client, and its home failure domain.
-func (s *Snapshot) Locate(client netip.Addr) (place block.Location, home string) {
+// Locate returns the block and bucket of a client, and its home failure domain.
+func (s *Snapshot) Locate(client netip.Addr) (location block.Location, home string) {
 	p := s.Blocks.Find(client)
 	if p.Home == "" {
-		return p, s.Home
+		return p, s.DefaultHome
 	}
 	return p, p.Home
 }
 
-// LookUp ranks the entry instances for a client; it allocates nothing.
+// LookUp ranks the entry instances for a client. It does not allocate.
 func (s *Snapshot) LookUp(client netip.Addr) instance.Ranking {
 	p, home := s.Locate(client)
 	return s.Directory.Rank(home, p.Hash)
--- a/route/work.go
+++ b/route/work.go
@@ -12,7 +12,7 @@
 	"lovageyard.example/lovageyard/server"
 )
 
-// Reasons of a choice of site.
+// Reasons for the choice of a site, as decisions report them to operators.
 const (
 	ReasonPlan   = "plan"
 	ReasonMoving = "moving"
@@ -20,16 +20,17 @@
 	ReasonGrant  = "own site takes no work; grant"
 )
 
-// retryAfterNoSite is when a caller whose work has no site should come back.
+// retryAfterNoSite is the retry delay that is sent to callers for whose request there is no site.
 const retryAfterNoSite = time.Second
 
-// HomeCounter counts the requests of one home failure domain, bucket by bucket.
+// HomeCounter counts the requests of one home failure domain by bucket. It is safe for concurrent use.
 type HomeCounter struct {
 	FailureDomain string
 	Buckets       [lovageyard.Buckets]atomic.Uint64
 }
 
-// Site is one site that has a class's service.
+// Site is a site that serves a class. The tokens of Allowance permit failover to it; Local reports
+// whether it is in this instance's failure domain.
 type Site struct {
 	Name      string
 	Pool      *server.Pool
@@ -37,38 +38,38 @@
 	Local     bool
 }
 
-// ClassRoute is what traffic needs of one class. Its pointers lead to parts that outlive the
-// snapshot; all else is immutable.
+// ClassRoute is the routing state of one class. The limiters, the budget, the counters and the sites'
+// pools are shared by successive snapshots; the rest is immutable.
 type ClassRoute struct {
 	Class           lovageyard.Class
 	Step            int64
 	Limiter         *move.Limiter
 	FailoverLimiter *move.Limiter
-	Budget          *server.RetryBudget
+	RetryBudget     *server.RetryBudget
 	HomeCounts      []*HomeCounter
 	Homes           []move.Home
-	// Sites are in the order of their distance from this instance.
+	// Sites is ordered by distance from this instance, nearest first.
 	Sites []Site
 }
 
-// Choice is the site chosen for one attempt.
+// Choice is the site chosen for one attempt, or the refusal of the request.
 type Choice struct {
 	Site   string
 	Pool   *server.Pool
 	Moved  bool
 	Reason string
-	// Err refuses the request; RetryAfter says when to come back.
+	// Err is the refusal, or nil; RetryAfter is the delay after which the caller may retry.
 	Err        *lovageyard.RequestError
 	RetryAfter time.Duration
 }
 
-// CountRequest counts one request of the class.
-func (w *ClassRoute) CountRequest(p block.Location, home string) {
-	w.Limiter.CountArrival()
-	if w.FailoverLimiter != w.Limiter {
-		w.FailoverLimiter.CountArrival()
+// CountRequest counts one request of the class, for the limiters and for demand reports.
+func (r *ClassRoute) CountRequest(p block.Location, home string) {
+	r.Limiter.CountArrival()
+	if r.FailoverLimiter != r.Limiter {
+		r.FailoverLimiter.CountArrival()
 	}
-	for _, c := range w.HomeCounts {
+	for _, c := range r.HomeCounts {
 		if c.FailureDomain == home {
 			c.Buckets[p.Bucket].Add(1)
 			return
@@ -76,18 +77,18 @@
 	}
 }
 
-// ChooseSite returns the site for a request of a block with a home failure domain.
-func (w *ClassRoute) ChooseSite(p block.Location, home string, now time.Time) Choice {
-	cells := w.cells(home)
+// ChooseSite returns the site for a request from a client's location and home failure domain, or a refusal.
+func (r *ClassRoute) ChooseSite(p block.Location, home string, now time.Time) Choice {
+	cells := r.cells(home)
 	if cells == nil {
-		return w.local()
+		return r.chooseLocal()
 	}
-	name, moved := cells[p.Bucket].Route(rand.Float64(), w.Limiter)
-	site := w.site(name)
+	name, moved := cells[p.Bucket].Route(rand.Float64(), r.Limiter)
+	site := r.site(name)
 	if site != nil && site.Pool.HasAvailable() {
 		return Choice{Site: name, Pool: site.Pool, Moved: moved, Reason: reasonOf(moved)}
 	}
-	return w.failOver(name, now)
+	return r.chooseFailover(name, now)
 }
 
 func reasonOf(moved bool) string {
@@ -97,56 +98,57 @@
 	return ReasonPlan
 }
 
-// failOver sends a request whose site takes no work where a grant and the cap allow.
-func (w *ClassRoute) failOver(from string, now time.Time) Choice {
-	for i := range w.Sites {
-		s := &w.Sites[i]
+// chooseFailover returns the nearest site to which a grant and the cap allow a request whose site does not
+// accept requests.
+func (r *ClassRoute) chooseFailover(from string, now time.Time) Choice {
+	for i := range r.Sites {
+		s := &r.Sites[i]
 		if s.Name == from || !s.Pool.HasAvailable() || !s.Allowance.Take(now) {
 			continue
 		}
-		if !w.takeForced() {
-			return refusal("site "+from+" takes no work, and the failover cap is used up", retryAfterNoSite)
+		if !r.allowFailover() {
+			return refuse("site "+from+" takes no work, and the failover cap is used up", retryAfterNoSite)
 		}
 		return Choice{Site: s.Name, Pool: s.Pool, Moved: true, Reason: ReasonGrant}
 	}
-	return refusal("site "+from+" takes no work, and no grant is left", retryAfterNoSite)
+	return refuse("site "+from+" takes no work, and no grant is left", retryAfterNoSite)
 }
 
-func (w *ClassRoute) takeForced() bool {
-	if w.Limiter.AllowFailover() {
+func (r *ClassRoute) allowFailover() bool {
+	if r.Limiter.AllowFailover() {
 		return true
 	}
-	return w.FailoverLimiter != w.Limiter && w.FailoverLimiter.AllowFailover()
+	return r.FailoverLimiter != r.Limiter && r.FailoverLimiter.AllowFailover()
 }
 
-// local serves from the own failure domain while no placement is known.
-func (w *ClassRoute) local() Choice {
-	for i := range w.Sites {
-		s := &w.Sites[i]
+// chooseLocal returns a site in the own failure domain; it is used while the home has no placement.
+func (r *ClassRoute) chooseLocal() Choice {
+	for i := range r.Sites {
+		s := &r.Sites[i]
 		if s.Local && s.Pool.HasAvailable() {
 			return Choice{Site: s.Name, Pool: s.Pool, Reason: ReasonNoPlan}
 		}
 	}
-	return refusal("no plan is known, and no site of this failure domain takes work", retryAfterNoSite)
+	return refuse("no plan is known, and no site of this failure domain takes work", retryAfterNoSite)
 }
 
-func refusal(reason string, after time.Duration) Choice {
+func refuse(reason string, after time.Duration) Choice {
 	return Choice{Err: lovageyard.NotRun(reason, nil), RetryAfter: after}
 }
 
-func (w *ClassRoute) cells(home string) []move.Cell {
-	for i := range w.Homes {
-		if w.Homes[i].FailureDomain == home {
-			return w.Homes[i].Cells
+func (r *ClassRoute) cells(home string) []move.Cell {
+	for i := range r.Homes {
+		if r.Homes[i].FailureDomain == home {
+			return r.Homes[i].Cells
 		}
 	}
 	return nil
 }
 
-func (w *ClassRoute) site(name string) *Site {
-	for i := range w.Sites {
-		if w.Sites[i].Name == name {
-			return &w.Sites[i]
+func (r *ClassRoute) site(name string) *Site {
+	for i := range r.Sites {
+		if r.Sites[i].Name == name {
+			return &r.Sites[i]
 		}
 	}
 	return nil
--- a/timer/clock.go
+++ b/timer/clock.go
@@ -9,29 +9,29 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Clock is the timer service that follows the machine's clock.
+// Clock is the timer that uses the machine's clocks. It is safe for concurrent use.
 type Clock struct{}
 
-// Now returns the present time.
+// Now returns the current wall-clock time, like time.Now.
 func (Clock) Now() time.Time {
 	return time.Now()
 }
 
-// Elapsed returns the time since the machine's start, that included in which it was suspended.
+// Elapsed returns the time since the machine booted, including time during which it was suspended.
 func (Clock) Elapsed() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		panic(errors.Wrap(err, "a clock that every kernel has"))
+		panic(errors.Wrap(err, "read CLOCK_BOOTTIME"))
 	}
 	return time.Duration(now.Nano())
 }
 
-// Subscribe delivers a tick each time the span has passed.
-func (Clock) Subscribe(every time.Duration) lovageyard.Ticker {
-	return &clockTicks{ticker: time.NewTicker(every)}
+// Subscribe returns a ticker that ticks at an interval, until it is closed.
+func (Clock) Subscribe(interval time.Duration) lovageyard.Ticker {
+	return &clockTicks{ticker: time.NewTicker(interval)}
 }
 
-// After delivers one tick when d has passed.
+// After returns a ticker that ticks once, when d has passed.
 func (Clock) After(d time.Duration) lovageyard.Ticker {
 	return &clockTimer{timer: time.NewTimer(d)}
 }
--- a/timer/doc.go
+++ b/timer/doc.go
@@ -1,2 +1,3 @@
-// Package timer holds the timer service: one that follows the clock, and one that tests move by hand.
+// Package timer implements lovageyard.Timer: Clock uses the machine's clocks, and Manual has a time that
+// tests advance explicitly.
 package timer
--- a/timer/manual.go
+++ b/timer/manual.go
@@ -7,7 +7,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Manual is a timer service whose time moves only when Advance is called.
+// Manual is a timer whose time changes only when Advance is called. It is safe for concurrent use.
 type Manual struct {
 	mu            sync.Mutex
 	now           time.Time
@@ -15,56 +15,56 @@
 	subscriptions []*manualTicks
 }
 
-// NewManual returns a Manual that stands at start.
+// NewManual returns a Manual whose time is start.
 func NewManual(start time.Time) *Manual {
 	return &Manual{now: start}
 }
 
-// Now returns the time that the service stands at.
+// Now returns the time that Advance has reached.
 func (m *Manual) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// Elapsed returns the time since 1970 by this service, and the time for which Suspend stopped it.
+// Elapsed returns the time since 1970 according to Now, plus all durations passed to Suspend.
 func (m *Manual) Elapsed() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Duration(m.now.UnixNano()) + m.suspended
 }
 
-// Suspend lets time pass that Now does not count, as on a machine that sleeps.
+// Suspend adds a duration to Elapsed but not to Now, like the suspension of a machine.
 func (m *Manual) Suspend(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.suspended += d
 }
 
-// Subscribe delivers a tick for each multiple of the span that Advance passes.
-func (m *Manual) Subscribe(every time.Duration) lovageyard.Ticker {
-	return m.add(every, every)
+// Subscribe returns a ticker with an interval. A call of Advance that passes one or more ticks sends one.
+func (m *Manual) Subscribe(interval time.Duration) lovageyard.Ticker {
+	return m.add(interval, interval)
 }
 
-// After delivers one tick when Advance has passed d.
+// After returns a ticker that ticks once, when Advance has passed d.
 func (m *Manual) After(d time.Duration) lovageyard.Ticker {
 	return m.add(d, 0)
 }
 
-func (m *Manual) add(first, every time.Duration) *manualTicks {
+func (m *Manual) add(first, interval time.Duration) *manualTicks {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t := &manualTicks{
-		service: m,
-		channel: make(chan time.Time, 1),
-		next:    m.now.Add(first),
-		every:   every,
+		manual:   m,
+		channel:  make(chan time.Time, 1),
+		next:     m.now.Add(first),
+		interval: interval,
 	}
 	m.subscriptions = append(m.subscriptions, t)
 	return t
 }
 
-// Advance moves the time on and delivers the ticks that fall due.
+// Advance adds a duration to the time and sends the ticks that are due.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,19 +74,19 @@
 	}
 }
 
-// Subscriptions returns how many subscriptions are open.
+// Subscriptions returns the number of tickers that have not been closed.
 func (m *Manual) Subscriptions() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.subscriptions)
 }
 
-func (m *Manual) remove(gone *manualTicks) {
+func (m *Manual) remove(closed *manualTicks) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	kept := m.subscriptions[:0]
 	for _, t := range m.subscriptions {
-		if t != gone {
+		if t != closed {
 			kept = append(kept, t)
 		}
 	}
@@ -94,27 +94,27 @@
 }
 
 type manualTicks struct {
-	service *Manual
-	channel chan time.Time
-	next    time.Time
-	every   time.Duration
-	spent   bool
+	manual   *Manual
+	channel  chan time.Time
+	next     time.Time
+	interval time.Duration
+	expired  bool
 }
 
 func (t *manualTicks) deliver(now time.Time) {
-	if t.spent || now.Before(t.next) {
+	if t.expired || now.Before(t.next) {
 		return
 	}
 	select {
 	case t.channel <- now:
 	default:
 	}
-	if t.every == 0 {
-		t.spent = true
+	if t.interval == 0 {
+		t.expired = true
 		return
 	}
 	for !now.Before(t.next) {
-		t.next = t.next.Add(t.every)
+		t.next = t.next.Add(t.interval)
 	}
 }
 
@@ -123,5 +123,5 @@
 }
 
 func (t *manualTicks) Close() {
-	t.service.remove(t)
+	t.manual.remove(t)
 }
