--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,9 +1,13 @@
-// Package quarantine finds the requests that end the backend servers which run them, and tells them
-// apart from those that were at such a server by chance.
+// Package quarantine detects requests that crash the backend servers which run them, and distinguishes them
+// from requests that were only in flight on such a server.
 //
-// The load that it answers: one request that comes again and again, at any instance, under a new
-// identity each time, and ends each server that begins to run it, with all that runs there beside it.
+// The case it handles is one request that is retried again and again, at any entry instance and under a new
+// request ID each time. Each server that starts to run it crashes, and all other requests in flight there are
+// lost. Requests are identified by a fingerprint of their content. A request that was in flight at several
+// crashes becomes a suspect; from a threshold on it is quarantined, that is, rejected without being sent to a
+// server, until the crashes are too old to count.
 //
-// A Table is pure: what was seen goes in, with the time, and judgements come out. A Watch adds what
-// that needs of the world: probes of servers that broke off, log lines, and news for other instances.
+// Table holds the state: it takes observations together with their times, does no I/O, and merges the reports
+// of other instances. Monitor adds what a running instance needs: probes of servers that closed connections,
+// log lines, metrics, and a notification when there is something to report.
 package quarantine
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -9,61 +9,62 @@
 	"lovageyard.example/lovageyard/instance"
 )
 
-// Merge takes in what another instance tells, and says whether any of it was news.
+// Merge applies a report from another instance. It returns whether the report changed the table.
 func (t *Table) Merge(r Report, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := false
-	repeated := t.repeated(r)
-	for _, told := range r.Crashes {
-		if told.Age < briefMemory || told.Age < memory && told.has(repeated) {
-			news = t.mergeCrash(told, now) || news
+	changed := false
+	repeated := t.repeatedRequests(r)
+	for _, reported := range r.Crashes {
+		if reported.Age < crashRetention || reported.Age < repeatedRetention && reported.containsAny(repeated) {
+			changed = t.mergeCrash(reported, now) || changed
 		}
 	}
-	for _, told := range r.Clearances {
-		at := now.Add(-told.Age)
-		if known, found := t.cleared[told.Request]; told.Age < memory && (!found || at.After(known.at.Add(clockSlack))) {
-			t.clear(told.Request, clearance{at: at, heardAt: now}, now)
-			news = true
+	for _, reported := range r.Clearances {
+		at := now.Add(-reported.Age)
+		if known, found := t.cleared[reported.Request]; reported.Age < repeatedRetention && (!found || at.After(known.at.Add(clockSkew))) {
+			t.applyClearance(reported.Request, clearance{at: at, updatedAt: now}, now)
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// clockSlack is how far the ages of one event may differ between instances, as the way of a
-// message counts as none of it.
-const clockSlack = time.Second
+// clockSkew is how far the age of one event may differ between instances, as ages do not include the network
+// delay of the report.
+const clockSkew = time.Second
 
-func (t *Table) mergeCrash(told Crash, now time.Time) bool {
-	at := now.Add(-told.Age)
-	c := t.crashes[told.Server]
+func (t *Table) mergeCrash(reported Crash, now time.Time) bool {
+	at := now.Add(-reported.Age)
+	c := t.crashes[reported.Server]
 	if c == nil {
 		c = &crash{at: at, sentAt: make(map[uint64]time.Time)}
-		t.crashes[told.Server] = c
+		t.crashes[reported.Server] = c
 	}
 	if at.Before(c.at) {
-		// Word that took less time on its way is nearer to the truth. A request that was sent on since
-		// would else seem to have been sent before.
+		// A report with a shorter network delay gives a more accurate time. With the later time, a request
+		// that was sent to another server after the crash would appear to have been sent before it.
 		c.at = at
 	}
-	news := false
-	for _, l := range told.Losses {
-		news = t.add(c, l.Request, now.Add(-l.SentAge), now) || news
+	changed := false
+	for _, l := range reported.Losses {
+		changed = t.addRequest(c, l.Request, now.Add(-l.SentAge), now) || changed
 	}
-	if !c.ended {
-		t.end(c, now)
-		news = true
+	if !c.confirmed {
+		t.confirm(c, now)
+		changed = true
 	}
-	return news
+	return changed
 }
 
-// repeated returns the requests of a report that were at more than one crash that is known here or told of.
-func (t *Table) repeated(r Report) map[uint64]bool {
+// repeatedRequests returns the requests of a report that were in flight at more than one crash, counting the
+// crashes in the report and those already known here.
+func (t *Table) repeatedRequests(r Report) map[uint64]bool {
 	seen := make(map[uint64]bool)
 	repeated := make(map[uint64]bool)
-	for _, told := range r.Crashes {
-		for _, l := range told.Losses {
-			if seen[l.Request] || t.judged.counts[l.Request] > 0 {
+	for _, reported := range r.Crashes {
+		for _, l := range reported.Losses {
+			if seen[l.Request] || t.decisions.counts[l.Request] > 0 {
 				repeated[l.Request] = true
 			}
 			seen[l.Request] = true
@@ -72,23 +73,24 @@
 	return repeated
 }
 
-// has says whether a crash had one of some requests.
-func (c Crash) has(requests map[uint64]bool) bool {
+// containsAny reports whether any of the requests was in flight at the crash.
+func (c Crash) containsAny(requests map[uint64]bool) bool {
 	return slices.ContainsFunc(c.Losses, func(l Loss) bool { return requests[l.Request] })
 }
 
-// Report returns all that other instances should know.
+// Report returns the whole state that other instances need.
 func (t *Table) Report(now time.Time) Report {
 	return t.ReportSince(time.Time{}, now)
 }
 
-// ReportFor returns the crashes under one request, without what else was there.
+// ReportFor returns the crashes at which one request was in flight, without the other requests that were lost
+// in them.
 func (t *Table) ReportFor(request uint64, now time.Time) Report {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var r Report
 	for server, c := range t.crashes {
-		if sentAt, found := c.sentAt[request]; found && c.ended {
+		if sentAt, found := c.sentAt[request]; found && c.confirmed {
 			r.Crashes = append(r.Crashes, Crash{
 				Server: server, Losses: []Loss{{Request: request, SentAge: now.Sub(sentAt)}}, Age: now.Sub(c.at),
 			})
@@ -98,18 +100,18 @@
 	return r
 }
 
-// ReportSince returns what this instance has learnt since a moment.
+// ReportSince returns what this instance has recorded or merged since a time.
 func (t *Table) ReportSince(since, now time.Time) Report {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var r Report
 	for server, c := range t.crashes {
-		if c.ended && !c.heardAt.Before(since) {
+		if c.confirmed && !c.updatedAt.Before(since) {
 			r.Crashes = append(r.Crashes, Crash{Server: server, Losses: c.losses(now), Age: now.Sub(c.at)})
 		}
 	}
 	for request, c := range t.cleared {
-		if !c.heardAt.Before(since) {
+		if !c.updatedAt.Before(since) {
 			r.Clearances = append(r.Clearances, Clearance{Request: request, Age: now.Sub(c.at)})
 		}
 	}
@@ -118,7 +120,7 @@
 	return r
 }
 
-// losses returns the requests that fell with a server, in order.
+// losses returns the requests that were in flight at the crash, ordered by fingerprint.
 func (c *crash) losses(now time.Time) []Loss {
 	var losses []Loss
 	for _, request := range slices.Sorted(maps.Keys(c.sentAt)) {
@@ -127,13 +129,14 @@
 	return losses
 }
 
-// Digest returns a number that is the same for tables that know the same.
+// Digest returns a hash of the confirmed crashes and clearances. Tables with the same state have the same
+// digest.
 func (t *Table) Digest() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	digest := uint64(0)
 	for server, c := range t.crashes {
-		if !c.ended {
+		if !c.confirmed {
 			continue
 		}
 		for request := range c.sentAt {
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -6,24 +6,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content is what makes two requests the same for a backend server, whatever identity each attempt has
-// of its own. The address that an attempt comes from is none of it: no server sees that, and callers
-// come back from other addresses.
+// Content is the part of a request that a backend server acts on, and that is the same for all attempts at it.
+// It excludes the request ID, and also the client's address: servers do not see it, and clients retry from
+// other addresses.
 type Content struct {
-	// Caller is who asks, by its credentials; "" if it has none.
+	// Caller identifies the client by its credentials; it is empty if the request has none.
 	Caller string
 	Method string
 	Host   string
-	// Target is the path and query as the client wrote them.
+	// Target is the path and query exactly as the client sent them.
 	Target string
 	Body   []byte
 }
 
-// Fingerprint returns a hash of a request's content.
+// Fingerprint returns a 64-bit hash of the content.
 func (c Content) Fingerprint() uint64 {
 	d := xxhash.New()
 	for _, text := range []string{c.Caller, c.Method, c.Host, c.Target} {
-		// The length keeps neighbouring fields apart. A hash's writes never fail.
+		// The length prefix prevents collisions between adjacent fields. Writes to a hash never fail.
 		_, _ = d.WriteString(strconv.Itoa(len(text)))
 		_, _ = d.WriteString(":")
 		_, _ = d.WriteString(text)
@@ -32,7 +32,7 @@
 	return d.Sum64()
 }
 
-// Format returns a fingerprint as logs show it.
+// Format returns a fingerprint in hexadecimal, as log lines show it.
 func Format(fingerprint uint64) string {
 	return strconv.FormatUint(fingerprint, 16)
 }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"lovageyard.example/lovageyard/quarantine"
 )
 
-func TestFingerprintTellsContentsApart(t *testing.T) {
+func TestFingerprintDependsOnEachField(t *testing.T) {
 	c := qt.New(t)
 	base := quarantine.Content{Caller: "10.0.0.1", Method: "GET", Host: "a.example", Target: "/x/1?q", Body: []byte("b")}
 	c.Assert(base.Fingerprint(), qt.Equals, base.Fingerprint())
--- /dev/null
+++ b/quarantine/monitor_test.go
@@ -0,0 +1,85 @@
+package quarantine_test
+
+import (
+	"context"
+	"io"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/sirupsen/logrus"
+
+	"lovageyard.example/lovageyard"
+	"lovageyard.example/lovageyard/meter"
+	"lovageyard.example/lovageyard/quarantine"
+	"lovageyard.example/lovageyard/timer"
+)
+
+// ports is a Prober whose servers refuse connections from the given probe on, or never if that is 0.
+type ports struct {
+	crashAt int64
+	probes  atomic.Int64
+}
+
+func (p *ports) RefusesConnections(context.Context, lovageyard.BackendServer) bool {
+	n := p.probes.Add(1)
+	return p.crashAt > 0 && n >= p.crashAt
+}
+
+func newWatch(c *qt.C, p *ports) *quarantine.Monitor {
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	w := quarantine.NewMonitor(quarantine.Settings{Prober: p, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
+	c.Cleanup(w.Close)
+	return w
+}
+
+func eventually(c *qt.C, condition string, reached func() bool) {
+	for end := time.Now().Add(time.Minute); !reached(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			c.Fatalf("timed out waiting until %s", condition)
+		}
+	}
+}
+
+// A crashing server may close its connections shortly before its listening port, so that the first probe still
+// succeeds.
+func TestServerIsProbedAgain(t *testing.T) {
+	c := qt.New(t)
+	p := &ports{crashAt: 2}
+	w := newWatch(c, p)
+	w.RecordLoss(lovageyard.BackendServer{Name: "server"}, poison, time.Now())
+	eventually(c, "the request is a suspect", func() bool { return w.Evaluate(poison).Suspect })
+	<-w.Updates()
+}
+
+// A server that is still running is probed only a few times, however many connections it closed at the same
+// time.
+func TestRunningServerIsProbedAFewTimes(t *testing.T) {
+	c := qt.New(t)
+	p := &ports{}
+	w := newWatch(c, p)
+	for request := range uint64(50) {
+		w.RecordLoss(lovageyard.BackendServer{Name: "server"}, request, time.Now())
+	}
+	eventually(c, "two probes", func() bool { return p.probes.Load() == 2 })
+	c.Assert(w.Evaluate(poison), qt.Equals, quarantine.Decision{})
+}
+
+// Only the observations of this instance count as newly quarantined, not the reports of others.
+func TestOnlyLocalObservationsAreNewlyQuarantined(t *testing.T) {
+	c := qt.New(t)
+	observer, receiver := newWatch(c, &ports{crashAt: 1}), newWatch(c, &ports{})
+	for _, name := range []string{"1", "2", "3"} {
+		server := lovageyard.BackendServer{Name: name}
+		time.Sleep(2 * time.Millisecond)
+		observer.RecordLoss(server, poison, time.Now())
+		observer.RecordCrash(server)
+	}
+	c.Assert(receiver.Merge(observer.ReportFor(poison)), qt.IsTrue)
+	c.Assert(receiver.Evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(observer.NewlyQuarantined(), qt.DeepEquals, []uint64{poison})
+	c.Assert(observer.NewlyQuarantined(), qt.HasLen, 0)
+	c.Assert(receiver.NewlyQuarantined(), qt.HasLen, 0)
+}
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Recent answers.
+// Bounds of the record of recent successes.
 const (
-	// recentFor is how long before a crash a good answer still speaks for a request.
-	recentFor = 2 * time.Second
-	// recentSlots is how many requests are remembered as answered of late: those that come
-	// often, which are at many servers at once.
+	// recentWindow is how long a success clears a request of a crash that follows it.
+	recentWindow = 2 * time.Second
+	// recentSlots is the number of requests whose last success is kept. It is meant for frequent requests,
+	// which are in flight on many servers at the same time.
 	recentSlots = 4096
 )
 
-// recent remembers which requests were answered well of late, without a lock, as it is told of every
-// answer. A request is at the slot that its fingerprint gives; the last one there stays.
-type recent [recentSlots]atomic.Pointer[recentAnswer]
+// recentSuccesses records the last success of each request. It uses no lock, as it is updated on every
+// successful answer. Each request has the slot given by its fingerprint; a collision overwrites the older
+// entry.
+type recentSuccesses [recentSlots]atomic.Pointer[recentSuccess]
 
-// recentAnswer is the last good answer to a request.
-type recentAnswer struct {
+// recentSuccess is the last success of a request.
+type recentSuccess struct {
 	request uint64
 	at      time.Time
 }
 
-func (r *recent) note(request uint64, now time.Time) {
-	r[request%recentSlots].Store(&recentAnswer{request: request, at: now})
+func (r *recentSuccesses) record(request uint64, now time.Time) {
+	r[request%recentSlots].Store(&recentSuccess{request: request, at: now})
 }
 
-// has says whether a request was answered well of late.
-func (r *recent) has(request uint64, now time.Time) bool {
+// contains reports whether a request succeeded within recentWindow.
+func (r *recentSuccesses) contains(request uint64, now time.Time) bool {
 	last := r[request%recentSlots].Load()
-	return last != nil && last.request == request && now.Sub(last.at) <= recentFor
+	return last != nil && last.request == request && now.Sub(last.at) <= recentWindow
 }
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -8,48 +8,49 @@
 	"lovageyard.example/lovageyard/instance"
 )
 
-// Server is one life of a backend server; see lovageyard.BackendServer.
+// Server is one incarnation of a backend server; see lovageyard.BackendServer.
 type Server struct {
 	Name        string
 	Incarnation int64
 }
 
-// Crash is the end of a server while it had requests.
+// Crash is the crash of a server that had requests in flight.
 type Crash struct {
 	Server Server
-	// Losses are the requests that were there.
+	// Losses are the requests that were in flight.
 	Losses []Loss
-	// Age is how long ago it was.
+	// Age is the time since the crash.
 	Age time.Duration
 }
 
-// Loss is a request that fell with its server.
+// Loss is a request that was in flight on a server when it crashed.
 type Loss struct {
-	// Request is the request's fingerprint.
+	// Request is the fingerprint of the request.
 	Request uint64
-	// SentAge is how long ago it was sent to the server.
+	// SentAge is the time since the request was sent to the server.
 	SentAge time.Duration
 }
 
-// Clearance is word of a request that a server answered well.
+// Clearance says that a request succeeded, so that earlier crashes no longer count against it.
 type Clearance struct {
 	Request uint64
-	// Age is how long ago it was.
+	// Age is the time since the success.
 	Age time.Duration
 }
 
-// Report is what instances tell each other.
+// Report is the state that instances exchange. It contains ages instead of times, as the clocks of instances
+// are not synchronized.
 type Report struct {
 	Crashes    []Crash
 	Clearances []Clearance
 }
 
-// IsEmpty says whether the report tells nothing.
+// IsEmpty reports whether there is nothing to send.
 func (r Report) IsEmpty() bool {
 	return len(r.Crashes) == 0 && len(r.Clearances) == 0
 }
 
-// hash returns a number that stands for a life of a server.
+// hash returns a hash of the name and incarnation, which is the same on all instances.
 func (s Server) hash() uint64 {
 	return instance.Mix(xxhash.Sum64String(s.Name) ^ uint64(s.Incarnation))
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,58 +8,60 @@
 	"time"
 )
 
-// Spans and sizes of what a Table remembers.
+// Retention times and sizes of a Table.
 const (
-	// confirmWithin is how long a server that broke off may take to show that it has ended.
-	confirmWithin = 5 * time.Second
-	// memory is how long crashes count in which a request was that other crashes met as well, and
-	// so how long a request is held. A shorter one costs three more servers each time it ends.
-	memory = 10 * time.Minute
-	// briefMemory is how long other crashes count. On a day on which many servers end, each of
-	// them is remembered with all that it had.
-	briefMemory = 2 * time.Minute
-	// maxCrashes bounds the crashes that are remembered, and maxRequests the requests of each: more
-	// than a server's slots and queue hold.
+	// confirmTimeout is how long after it closed a connection a server may be confirmed to have crashed.
+	confirmTimeout = 5 * time.Second
+	// repeatedRetention is how long a crash is kept if one of its requests was in flight at another crash as
+	// well; it also bounds how long a request is quarantined. Each time the quarantine of such a request
+	// expires, it can crash three more servers.
+	repeatedRetention = 10 * time.Minute
+	// crashRetention is how long other crashes are kept. It is shorter because on a day with many crashes each
+	// is kept with all requests that were in flight.
+	crashRetention = 2 * time.Minute
+	// maxCrashes bounds the number of crashes that are kept, and maxRequests the number of requests of each.
+	// The latter exceeds what the slots and the queue of a server hold.
 	maxCrashes  = 128
 	maxRequests = 64
 )
 
-// crash is a server that broke off requests, and may have ended.
+// crash is a server that closed connections with requests in flight. It counts once confirmed is set.
 type crash struct {
 	at time.Time
-	// heardAt is when this instance last learnt something of it.
-	heardAt time.Time
-	ended   bool
-	// sentAt is when each request was sent to the server, by its fingerprint.
+	// updatedAt is when this instance last recorded or merged something about the crash.
+	updatedAt time.Time
+	confirmed bool
+	// sentAt holds the time at which each request was sent to the server, by fingerprint.
 	sentAt map[uint64]time.Time
 }
 
-// clearance is when a request was answered well.
+// clearance is the last success of a request.
 type clearance struct {
-	at      time.Time
-	heardAt time.Time
+	at        time.Time
+	updatedAt time.Time
 }
 
-// Table remembers which requests were at servers that ended. Its methods may be called from several
-// goroutines.
+// Table records which requests were in flight on servers that crashed, and decides which of them to
+// quarantine. It is safe for concurrent use.
 type Table struct {
-	mu      sync.RWMutex
-	crashes map[Server]*crash
-	cleared map[uint64]clearance
-	judged  judgements
-	recent  recent
+	mu        sync.RWMutex
+	crashes   map[Server]*crash
+	cleared   map[uint64]clearance
+	decisions decisions
+	recent    recentSuccesses
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{crashes: make(map[Server]*crash), cleared: make(map[uint64]clearance), judged: newJudgements()}
+	return &Table{crashes: make(map[Server]*crash), cleared: make(map[uint64]clearance), decisions: newDecisions()}
 }
 
-// RecordLoss notes that a server broke off a request. It says whether it is open if the server has ended, and
-// whether others should know, as it has. A request that was answered well a moment ago, as one
-// that many callers send, does not end servers: it was there by chance.
-func (t *Table) RecordLoss(server Server, request uint64, sentAt, now time.Time) (open, news bool) {
-	if t.recent.has(request, now) {
+// RecordLoss records that a server closed the connection of a request in flight. It returns whether the crash
+// of the server is still to be confirmed, and whether the loss should be reported to other instances because
+// it already is. A request that succeeded within recentWindow is ignored: it is one that many clients send,
+// and was in flight only by coincidence.
+func (t *Table) RecordLoss(server Server, request uint64, sentAt, now time.Time) (unconfirmed, changed bool) {
+	if t.recent.contains(request, now) {
 		return false, false
 	}
 	t.mu.Lock()
@@ -69,166 +71,167 @@
 		c = &crash{at: now, sentAt: make(map[uint64]time.Time)}
 		t.crashes[server] = c
 	}
-	added := t.add(c, request, sentAt, now)
-	return !c.ended, c.ended && added
+	added := t.addRequest(c, request, sentAt, now)
+	return !c.confirmed, c.confirmed && added
 }
 
-// add notes that a request was at a server, and says whether that is news. Nearly all requests that
-// fall with a server were at no other, so that nothing has to be worked out anew for them.
-func (t *Table) add(c *crash, request uint64, sentAt, now time.Time) bool {
+// addRequest adds a request to a crash and returns whether it was new. Most requests of a crash were in flight
+// at no other one, so that they need no evaluation.
+func (t *Table) addRequest(c *crash, request uint64, sentAt, now time.Time) bool {
 	if _, known := c.sentAt[request]; known || len(c.sentAt) >= maxRequests {
 		return false
 	}
 	c.sentAt[request] = sentAt
-	c.heardAt = now
-	if c.ended && t.count(c, request) {
-		t.judge(now)
+	c.updatedAt = now
+	if c.confirmed && t.countCrash(c, request) {
+		t.evaluate(now)
 	}
 	return true
 }
 
-// count counts an end of a server against a request that was there, and says whether all has to be
-// judged anew for it.
-func (t *Table) count(c *crash, request uint64) bool {
+// countCrash counts a crash against a request, and returns whether all requests have to be evaluated again.
+func (t *Table) countCrash(c *crash, request uint64) bool {
 	if t.isCleared(c, request) {
 		return false
 	}
-	t.judged.counts[request]++
-	if !t.isExplained(c) {
-		t.judged.suspects[request] = true
+	t.decisions.counts[request]++
+	if !t.isAttributed(c) {
+		t.decisions.suspects[request] = true
 	}
-	return t.judged.counts[request] >= enough
+	return t.decisions.counts[request] >= quarantineThreshold
 }
 
-// isExplained says whether a request is held that was at a crash.
-func (t *Table) isExplained(c *crash) bool {
+// isAttributed reports whether a request that was in flight at the crash is quarantined.
+func (t *Table) isAttributed(c *crash) bool {
 	for request := range c.sentAt {
-		if _, held := t.judged.held[request]; held {
+		if _, quarantined := t.decisions.quarantined[request]; quarantined {
 			return true
 		}
 	}
 	return false
 }
 
-// isCleared says whether a request was answered well since a crash.
+// isCleared reports whether a request has succeeded since a crash.
 func (t *Table) isCleared(c *crash, request uint64) bool {
 	cleared, found := t.cleared[request]
 	return found && !cleared.at.Before(c.at)
 }
 
-// RecordCrash notes that a server has ended, and returns the requests that it had if that is news.
+// RecordCrash confirms that a server has crashed. It returns the requests that were in flight, or nil if the
+// crash was confirmed before or no request was.
 func (t *Table) RecordCrash(server Server, now time.Time) []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.crashes[server]
-	if c == nil || c.ended {
+	if c == nil || c.confirmed {
 		return nil
 	}
-	t.end(c, now)
+	t.confirm(c, now)
 	return slices.Sorted(maps.Keys(c.sentAt))
 }
 
-// end notes that the server of a crash has ended.
-func (t *Table) end(c *crash, now time.Time) {
-	c.ended = true
-	c.heardAt = now
-	judge := false
+// confirm marks a crash as confirmed and counts it against its requests.
+func (t *Table) confirm(c *crash, now time.Time) {
+	c.confirmed = true
+	c.updatedAt = now
+	reevaluate := false
 	for request := range c.sentAt {
-		judge = t.count(c, request) || judge
+		reevaluate = t.countCrash(c, request) || reevaluate
 	}
-	if t.bound() || judge {
-		t.judge(now)
+	if t.evict() || reevaluate {
+		t.evaluate(now)
 	}
 }
 
-// RecordSuccess notes that a server answered a request well, and says whether other instances should know. They
-// needn't of a request that was at one crash, as most are that fell with a server: on a day on which
-// many servers end, that would be thousands.
+// RecordSuccess records that a server answered a request successfully, and returns whether to report that to
+// other instances. A request that was in flight at a single crash, as most are, is not reported: on a day with
+// many crashes that would be thousands of reports.
 func (t *Table) RecordSuccess(request uint64, now time.Time) bool {
-	t.recent.note(request, now)
-	if !t.isKnown(request) {
+	t.recent.record(request, now)
+	if !t.hasCrashes(request) {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.judged.counts[request] < 2 {
-		delete(t.judged.suspects, request)
+	if t.decisions.counts[request] < 2 {
+		delete(t.decisions.suspects, request)
 		return false
 	}
-	t.clear(request, clearance{at: now, heardAt: now}, now)
+	t.applyClearance(request, clearance{at: now, updatedAt: now}, now)
 	return true
 }
 
-// clear notes that a request was answered well.
-func (t *Table) clear(request uint64, c clearance, now time.Time) {
+// applyClearance stores a clearance and evaluates the requests again if the cleared one is affected.
+func (t *Table) applyClearance(request uint64, c clearance, now time.Time) {
 	t.cleared[request] = c
-	if t.judged.counts[request] > 0 {
-		// Ends that came later still count against it.
-		t.judge(now)
+	if t.decisions.counts[request] > 0 {
+		// Crashes after the success still count against the request.
+		t.evaluate(now)
 	}
 }
 
-// isKnown says whether a request counts as one that was at a server which ended. Nearly all
-// requests are not, and ask no more than that.
-func (t *Table) isKnown(request uint64) bool {
+// hasCrashes reports whether any crash counts against a request. Nearly all requests have none, and need only
+// this read lock.
+func (t *Table) hasCrashes(request uint64) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.judged.counts[request] > 0
+	return t.decisions.counts[request] > 0
 }
 
-// Evaluate returns what is thought of a request.
+// Evaluate returns the current decision on a request.
 func (t *Table) Evaluate(request uint64, now time.Time) Decision {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	if h, found := t.judged.held[request]; found && now.Before(h.Until) {
+	if h, found := t.decisions.quarantined[request]; found && now.Before(h.Until) {
 		return Decision{Quarantined: true, Until: h.Until}
 	}
-	return Decision{Suspect: t.judged.suspects[request]}
+	return Decision{Suspect: t.decisions.suspects[request]}
 }
 
-// Quarantined returns the requests that are held, in order.
+// Quarantined returns the quarantined requests, ordered by fingerprint.
 func (t *Table) Quarantined() []QuarantinedRequest {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return slices.SortedFunc(maps.Values(t.judged.held), func(a, b QuarantinedRequest) int { return cmp.Compare(a.Request, b.Request) })
+	return slices.SortedFunc(maps.Values(t.decisions.quarantined), func(a, b QuarantinedRequest) int { return cmp.Compare(a.Request, b.Request) })
 }
 
-// Expire forgets what is too old to count.
+// Expire removes the crashes and clearances that are too old to count.
 func (t *Table) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := len(t.crashes) + len(t.cleared)
-	maps.DeleteFunc(t.crashes, func(_ Server, c *crash) bool { return now.Sub(c.at) > t.lifetime(c) })
-	maps.DeleteFunc(t.cleared, func(_ uint64, c clearance) bool { return now.Sub(c.at) > memory })
+	maps.DeleteFunc(t.crashes, func(_ Server, c *crash) bool { return now.Sub(c.at) > t.retention(c) })
+	maps.DeleteFunc(t.cleared, func(_ uint64, c clearance) bool { return now.Sub(c.at) > repeatedRetention })
 	if len(t.crashes)+len(t.cleared) != before {
-		t.judge(now)
+		t.evaluate(now)
 	}
 }
 
-// lifetime returns how long a crash is remembered.
-func (t *Table) lifetime(c *crash) time.Duration {
+// retention returns how long a crash is kept.
+func (t *Table) retention(c *crash) time.Duration {
 	switch {
-	case !c.ended:
-		return confirmWithin
+	case !c.confirmed:
+		return confirmTimeout
 	case t.isRepeated(c):
-		return memory
+		return repeatedRetention
 	}
-	return briefMemory
+	return crashRetention
 }
 
-// isRepeated says whether a crash had a request that was at others too.
+// isRepeated reports whether a request that was in flight at the crash was also in flight at another one.
 func (t *Table) isRepeated(c *crash) bool {
 	for request := range c.sentAt {
-		if t.judged.counts[request] > 1 {
+		if t.decisions.counts[request] > 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// bound forgets crashes beyond the bound, first those whose requests no other one had, and says whether it
-// did. Which ones doesn't depend on when this instance heard of them, so that instances agree.
-func (t *Table) bound() bool {
+// evict removes crashes beyond maxCrashes, first those whose requests were in flight at no other one, and
+// returns whether it removed any. The choice does not depend on the order in which this instance learned of
+// them, so that all instances keep the same ones.
+func (t *Table) evict() bool {
 	if len(t.crashes) <= maxCrashes {
 		return false
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -15,22 +15,22 @@
 
 var start = time.Unix(1000, 0)
 
-// play is a Table with a clock.
-type play struct {
+// testTable is a Table with a manual clock.
+type testTable struct {
 	*quarantine.Table
 	now time.Time
 }
 
-func newPlay() *play {
-	return &play{Table: quarantine.NewTable(), now: start}
+func newTestTable() *testTable {
+	return &testTable{Table: quarantine.NewTable(), now: start}
 }
 
 func server(n int) quarantine.Server {
 	return quarantine.Server{Name: fmt.Sprint("server-", n)}
 }
 
-// end lets a server end while it has requests.
-func (p *play) end(n int, requests ...uint64) {
+// crash crashes a server with requests in flight.
+func (p *testTable) crash(n int, requests ...uint64) {
 	p.now = p.now.Add(400 * time.Millisecond)
 	for _, r := range requests {
 		p.RecordLoss(server(n), r, p.now, p.now)
@@ -38,291 +38,293 @@
 	p.RecordCrash(server(n), p.now)
 }
 
-func (p *play) judge(request uint64) quarantine.Decision {
+func (p *testTable) evaluate(request uint64) quarantine.Decision {
 	return p.Evaluate(request, p.now)
 }
 
-const deadly, beside, other = 1, 2, 3
+const poison, bystander, other = 1, 2, 3
 
-func TestRequestIsHeldAfterThreeEnds(t *testing.T) {
+func TestRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
-	p.end(1, deadly, 11, 12)
-	c.Assert(p.judge(deadly), qt.Equals, quarantine.Decision{Suspect: true})
-	p.end(2, deadly, 13)
-	c.Assert(p.judge(deadly).Quarantined, qt.IsFalse)
-	p.end(3, 14, deadly)
-	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
-	// What was beside it is as good as any other.
+	p := newTestTable()
+	p.crash(1, poison, 11, 12)
+	c.Assert(p.evaluate(poison), qt.Equals, quarantine.Decision{Suspect: true})
+	p.crash(2, poison, 13)
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsFalse)
+	p.crash(3, 14, poison)
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
+	// The requests that were in flight with it are cleared.
 	for _, r := range []uint64{11, 12, 13, 14} {
-		c.Assert(p.judge(r), qt.Equals, quarantine.Decision{}, qt.Commentf("%d", r))
+		c.Assert(p.evaluate(r), qt.Equals, quarantine.Decision{}, qt.Commentf("%d", r))
 	}
 }
 
-// Two requests of one object went to the same servers, and were at the same three ends. Either may be
-// the cause, so that neither is refused; the next end, or an answer, tells.
-func TestRequestThatWasAtTheSameEndsIsNotHeld(t *testing.T) {
+// Two requests for the same object were sent to the same servers and were in flight at the same three crashes.
+// Either may be the cause, so that neither is quarantined until the next crash or success distinguishes them.
+func TestAmbiguousRequestsAreNotQuarantined(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
+	p := newTestTable()
 	for n := range 3 {
-		p.end(n, beside, deadly)
+		p.crash(n, bystander, poison)
 	}
-	c.Assert(p.judge(deadly), qt.Equals, quarantine.Decision{Suspect: true})
-	c.Assert(p.judge(beside), qt.Equals, quarantine.Decision{Suspect: true})
-	p.end(3, deadly, other)
-	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
-	c.Assert(p.judge(beside), qt.Equals, quarantine.Decision{})
-	c.Assert(p.judge(other), qt.Equals, quarantine.Decision{})
+	c.Assert(p.evaluate(poison), qt.Equals, quarantine.Decision{Suspect: true})
+	c.Assert(p.evaluate(bystander), qt.Equals, quarantine.Decision{Suspect: true})
+	p.crash(3, poison, other)
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(p.evaluate(bystander), qt.Equals, quarantine.Decision{})
+	c.Assert(p.evaluate(other), qt.Equals, quarantine.Decision{})
 }
 
-func TestAnswerTellsWhichOfTwoIsTheCause(t *testing.T) {
+func TestSuccessResolvesAmbiguity(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
+	p := newTestTable()
 	for n := range 3 {
-		p.end(n, beside, deadly)
+		p.crash(n, bystander, poison)
 	}
 	p.now = p.now.Add(time.Second)
-	c.Assert(p.RecordSuccess(beside, p.now), qt.IsTrue)
-	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
-	c.Assert(p.judge(beside), qt.Equals, quarantine.Decision{})
+	c.Assert(p.RecordSuccess(bystander, p.now), qt.IsTrue)
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(p.evaluate(bystander), qt.Equals, quarantine.Decision{})
 }
 
-// If all that is known of two requests stays the same, servers must not go on ending.
-func TestRequestsThatNothingTellsApartAreHeldAfterFiveEnds(t *testing.T) {
+// Two requests that cannot be distinguished must not crash servers without limit.
+func TestAmbiguousRequestsAreQuarantinedAfterFiveCrashes(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
+	p := newTestTable()
 	for n := range 4 {
-		p.end(n, beside, deadly)
+		p.crash(n, bystander, poison)
 	}
-	c.Assert(p.judge(deadly).Quarantined, qt.IsFalse)
-	p.end(4, beside, deadly)
-	c.Assert(p.judge(deadly).Quarantined || p.judge(beside).Quarantined, qt.IsTrue)
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsFalse)
+	p.crash(4, bystander, poison)
+	c.Assert(p.evaluate(poison).Quarantined || p.evaluate(bystander).Quarantined, qt.IsTrue)
 }
 
-// Answers get lost, and connections are reset, at servers that go on.
-func TestServerThatGoesOnCountsAgainstNobody(t *testing.T) {
+// A lost answer or a reset connection is no crash if the server keeps running.
+func TestUnconfirmedCrashDoesNotCount(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
+	p := newTestTable()
 	for n := range 9 {
-		open, news := p.RecordLoss(server(n), deadly, p.now, p.now)
-		c.Assert(open, qt.IsTrue)
-		c.Assert(news, qt.IsFalse)
+		unconfirmed, changed := p.RecordLoss(server(n), poison, p.now, p.now)
+		c.Assert(unconfirmed, qt.IsTrue)
+		c.Assert(changed, qt.IsFalse)
 	}
-	c.Assert(p.judge(deadly), qt.Equals, quarantine.Decision{})
-	// Once it is known that they have ended, what was there counts.
+	c.Assert(p.evaluate(poison), qt.Equals, quarantine.Decision{})
+	// Once the crash is confirmed, it counts against the requests that were in flight.
 	p.RecordCrash(server(0), p.now)
-	c.Assert(p.judge(deadly).Suspect, qt.IsTrue)
+	c.Assert(p.evaluate(poison).Suspect, qt.IsTrue)
 	p.now = p.now.Add(time.Minute)
 	p.Expire(p.now)
 	p.RecordCrash(server(1), p.now)
 	p.RecordCrash(server(2), p.now)
-	c.Assert(p.judge(deadly).Quarantined, qt.IsFalse)
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsFalse)
 }
 
-// A request that everyone asks for is at many ends and answered well in between.
-func TestRequestThatIsAnsweredIsNeverHeld(t *testing.T) {
+// A frequent request is in flight at many crashes, and succeeds between them.
+func TestSucceedingRequestIsNeverQuarantined(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
+	p := newTestTable()
 	for n := range 30 {
-		p.end(n, other)
+		p.crash(n, other)
 		p.now = p.now.Add(100 * time.Millisecond)
 		p.RecordSuccess(other, p.now)
-		c.Assert(p.judge(other).Quarantined, qt.IsFalse)
+		c.Assert(p.evaluate(other).Quarantined, qt.IsFalse)
 	}
 }
 
-func TestLivesOfOneServerCountApart(t *testing.T) {
+func TestIncarnationsOfOneServerCountSeparately(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
-	for life := range int64(3) {
-		s := quarantine.Server{Name: "server", Incarnation: life + 1}
+	p := newTestTable()
+	for incarnation := range int64(3) {
+		s := quarantine.Server{Name: "server", Incarnation: incarnation + 1}
 		p.now = p.now.Add(time.Second)
-		p.RecordLoss(s, deadly, p.now, p.now)
+		p.RecordLoss(s, poison, p.now, p.now)
 		p.RecordCrash(s, p.now)
 	}
-	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
 }
 
-func TestHoldEnds(t *testing.T) {
+func TestQuarantineExpires(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
+	p := newTestTable()
 	for n := range 3 {
-		p.end(n, deadly)
+		p.crash(n, poison)
 	}
-	until := p.judge(deadly).Until
+	until := p.evaluate(poison).Until
 	c.Assert(until.Sub(p.now) > 5*time.Minute, qt.IsTrue)
 	p.now = until.Add(time.Second)
 	p.Expire(p.now)
-	c.Assert(p.judge(deadly).Quarantined, qt.IsFalse)
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsFalse)
 	c.Assert(p.Report(p.now).IsEmpty(), qt.IsTrue)
 }
 
-// Word that a request was answered well holds against older word of crashes, in whatever order both come.
-func TestLateWordOfCrashesDoesNotUndoAClearance(t *testing.T) {
+// A success outweighs older crashes, in whatever order the reports arrive.
+func TestLateCrashReportDoesNotUndoClearance(t *testing.T) {
 	c := qt.New(t)
-	first, second := newPlay(), newPlay()
+	first, second := newTestTable(), newTestTable()
 	for n := range 2 {
-		first.end(n, other)
+		first.crash(n, other)
 	}
-	old := first.Report(first.now)
+	oldReport := first.Report(first.now)
 	first.now = first.now.Add(5 * time.Second)
 	c.Assert(first.RecordSuccess(other, first.now), qt.IsTrue)
 	second.now = first.now
 	c.Assert(second.Merge(first.Report(first.now), second.now), qt.IsTrue)
-	second.Merge(old, second.now.Add(-5*time.Second))
-	second.end(7, other)
-	c.Assert(second.judge(other).Quarantined, qt.IsFalse)
+	second.Merge(oldReport, second.now.Add(-5*time.Second))
+	second.crash(7, other)
+	c.Assert(second.evaluate(other).Quarantined, qt.IsFalse)
 	c.Assert(second.Merge(first.Report(first.now), second.now), qt.IsFalse)
 }
 
-// An instance saw an end, and hears then of an older one and of a good answer between. The answer speaks
-// for the request up to its time only: what was seen later still counts. Found by random play, as
-// "held: [{2 [server-3 server-4 server-5]}] and []" of two instances that knew the same.
-func TestOldClearanceLeavesLaterEnds(t *testing.T) {
+// A success clears a request only of crashes before it. An instance recorded a crash, then merged a report of
+// an older crash and of a success between the two; counting the success against both let two instances with
+// the same reports disagree.
+func TestClearanceDoesNotCoverLaterCrashes(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
-	p.end(9, other)
+	p := newTestTable()
+	p.crash(9, other)
 	c.Assert(p.Merge(quarantine.Report{
 		Crashes:    []quarantine.Crash{{Server: server(1), Losses: []quarantine.Loss{{Request: other, SentAge: time.Minute}}, Age: time.Minute}},
 		Clearances: []quarantine.Clearance{{Request: other, Age: 30 * time.Second}},
 	}, p.now), qt.IsTrue)
 	for n := range 2 {
-		p.end(5+n, other)
+		p.crash(5+n, other)
 	}
-	c.Assert(p.judge(other).Quarantined, qt.IsTrue)
+	c.Assert(p.evaluate(other).Quarantined, qt.IsTrue)
 }
 
-// Instances that see parts of it, and tell each other, think the same.
-func TestInstancesThatTellEachOtherAgree(t *testing.T) {
+// Instances that each see part of the crashes reach the same decision once they exchange reports.
+func TestInstancesAgreeAfterExchange(t *testing.T) {
 	c := qt.New(t)
-	a, b := newPlay(), newPlay()
-	a.end(1, deadly, 11)
-	b.end(1, 12)
-	b.end(2, deadly)
+	a, b := newTestTable(), newTestTable()
+	a.crash(1, poison, 11)
+	b.crash(1, 12)
+	b.crash(2, poison)
 	a.now = b.now
-	a.end(3, 13)
-	b.end(3, deadly)
-	c.Assert(a.judge(deadly).Quarantined, qt.IsFalse)
+	a.crash(3, 13)
+	b.crash(3, poison)
+	c.Assert(a.evaluate(poison).Quarantined, qt.IsFalse)
 	c.Assert(a.Merge(b.Report(b.now), a.now), qt.IsTrue)
 	c.Assert(b.Merge(a.Report(a.now), b.now), qt.IsTrue)
-	c.Assert(a.judge(deadly).Quarantined, qt.IsTrue)
-	c.Assert(b.judge(deadly).Quarantined, qt.IsTrue)
+	c.Assert(a.evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(b.evaluate(poison).Quarantined, qt.IsTrue)
 	c.Assert(a.Digest(), qt.Equals, b.Digest())
 	c.Assert(a.Merge(b.Report(b.now), a.now), qt.IsFalse)
 }
 
-// A day on which hundreds of servers end, each with all that it had, takes little room, and instances
-// that hear of it in different orders remember the same.
-func TestManyEndsTakeLittleRoom(t *testing.T) {
+// Hundreds of crashes with many requests each take bounded memory, and instances that learn of them in
+// different orders keep the same ones.
+func TestCrashesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	a, b := newPlay(), newPlay()
-	fill := func(p *play, n int) {
+	a, b := newTestTable(), newTestTable()
+	crashMany := func(p *testTable, n int) {
 		var requests []uint64
 		for r := range 36 {
 			requests = append(requests, uint64(1000+100*n+r))
 		}
-		p.end(n, requests...)
+		p.crash(n, requests...)
 	}
 	for n := range 3 {
-		a.end(1000+n, deadly)
-		b.end(1000+n, deadly)
+		a.crash(1000+n, poison)
+		b.crash(1000+n, poison)
 	}
 	for n := range 500 {
-		fill(a, n)
-		fill(b, 499-n)
+		crashMany(a, n)
+		crashMany(b, 499-n)
 	}
 	c.Assert(len(a.Report(a.now).Crashes), qt.Equals, 128)
 	c.Assert(a.Digest(), qt.Equals, b.Digest())
-	c.Assert(a.judge(deadly).Quarantined, qt.IsTrue)
+	c.Assert(a.evaluate(poison).Quarantined, qt.IsTrue)
 }
 
-// A failure domain loses its servers at once. A request that a client had sent again and again was at
-// all of them: that is one failure, whatever its cause, and no reason to refuse the request.
-func TestServersThatEndTogetherCountOnce(t *testing.T) {
+// A failure domain loses all its servers at the same time, and a request that its client had retried was in
+// flight on all of them. That is a single failure, whatever its cause, and no reason to quarantine the
+// request.
+func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
+	p := newTestTable()
 	for n := range 6 {
 		at := p.now.Add(time.Duration(n) * 20 * time.Millisecond)
 		p.RecordLoss(server(n), other, p.now, at)
 		p.RecordCrash(server(n), at)
 	}
-	c.Assert(p.judge(other), qt.Equals, quarantine.Decision{Suspect: true})
+	c.Assert(p.evaluate(other), qt.Equals, quarantine.Decision{Suspect: true})
 	for n := range 2 {
-		p.end(10+n, other)
+		p.crash(10+n, other)
 	}
-	c.Assert(p.judge(other).Quarantined, qt.IsTrue)
+	c.Assert(p.evaluate(other).Quarantined, qt.IsTrue)
 }
 
-// Many callers ask for the same, each second. It was at three servers that others ended, one after
-// the other, and was answered well at the rest all the while.
-func TestRequestThatWasAnsweredAMomentAgoIsNoSuspect(t *testing.T) {
+// A request that many clients send every second was in flight at three crashes with another cause, and
+// succeeded elsewhere between them.
+func TestRecentSuccessPreventsSuspicion(t *testing.T) {
 	c := qt.New(t)
-	p := newPlay()
+	p := newTestTable()
 	for n := range 3 {
 		p.RecordSuccess(other, p.now)
 		p.now = p.now.Add(time.Second)
-		p.end(n, other, deadly)
-		c.Assert(p.judge(other), qt.Equals, quarantine.Decision{})
+		p.crash(n, other, poison)
+		c.Assert(p.evaluate(other), qt.Equals, quarantine.Decision{})
 	}
-	c.Assert(p.judge(deadly).Quarantined, qt.IsTrue)
-	// What was answered well for long may still end servers from one moment on.
+	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
+	// A request that used to succeed may start to crash servers.
 	p.RecordSuccess(14, p.now)
 	p.now = p.now.Add(time.Minute)
 	for n := range 3 {
-		p.end(20+n, 14)
+		p.crash(20+n, 14)
 	}
-	c.Assert(p.judge(14).Quarantined, qt.IsTrue)
+	c.Assert(p.evaluate(14).Quarantined, qt.IsTrue)
 }
 
-// Random play: one deadly request among many, each of which is repeated after an end, as callers and
-// instances do, to servers that are drawn apart once it is a suspect. The deadly one is held soon, and no other.
-func TestOnlyTheDeadlyRequestIsHeld(t *testing.T) {
+// Simulates one poison request among many others. All are retried after a crash, as clients and instances do,
+// on random servers once they are suspects. The poison request is quarantined after at most four crashes, and
+// no other request ever is.
+func TestOnlyPoisonRequestIsQuarantined(t *testing.T) {
 	const servers, inFlight, seeds = 12, 30, 200
 	for seed := range uint64(seeds) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, seed))
-		p := newPlay()
-		life := 0
+		p := newTestTable()
+		incarnation := 0
 		at := make(map[uint64]int)
-		next := uint64(100)
+		nextRequest := uint64(100)
 		place := func(request uint64, home int) {
 			at[request] = home
-			if p.judge(request).Suspect {
+			if p.evaluate(request).Suspect {
 				at[request] = random.IntN(servers)
 			}
 		}
 		for range inFlight {
-			next++
-			// All concern one object at first.
-			place(next, 0)
+			nextRequest++
+			// Initially all requests are for the same object, and so on the same server.
+			place(nextRequest, 0)
 		}
-		ends := 0
-		for ; !p.judge(deadly).Quarantined && ends < 9; ends++ {
-			place(deadly, 0)
+		crashes := 0
+		for ; !p.evaluate(poison).Quarantined && crashes < 9; crashes++ {
+			place(poison, 0)
 			var lost []uint64
 			for _, request := range slices.Sorted(maps.Keys(at)) {
-				if at[request] == at[deadly] {
+				if at[request] == at[poison] {
 					lost = append(lost, request)
 				}
 			}
-			life++
-			p.end(life, lost...)
+			incarnation++
+			p.crash(incarnation, lost...)
 			for _, request := range lost {
 				place(request, 0)
 			}
-			// Some end well, and others begin.
+			// Some requests complete, and new ones start.
 			for _, request := range slices.Sorted(maps.Keys(at)) {
-				if request != deadly && random.IntN(4) == 0 {
+				if request != poison && random.IntN(4) == 0 {
 					p.RecordSuccess(request, p.now)
 					delete(at, request)
-					next++
-					place(next, 0)
+					nextRequest++
+					place(nextRequest, 0)
 				}
 			}
 		}
-		c.Assert(ends <= 4, qt.IsTrue, qt.Commentf("seed %d: %d servers ended", seed, ends))
-		for _, h := range p.Quarantined() {
-			c.Assert(h.Request, qt.Equals, uint64(deadly), qt.Commentf("seed %d", seed))
+		c.Assert(crashes <= 4, qt.IsTrue, qt.Commentf("seed %d: %d servers crashed", seed, crashes))
+		for _, q := range p.Quarantined() {
+			c.Assert(q.Request, qt.Equals, uint64(poison), qt.Commentf("seed %d", seed))
 		}
 	}
 }
