--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -42,7 +42,7 @@
 	// rate is this instance's part of the limit in requests a second, or 0 if it has none, and
 	// allowance spends it.
 	rate      float64
-	allowance *grant.Allowance
+	allowance *grant.TokenBucket
 	// trialEvery is the time between two trials of an instance without a part; triedAt was the last one.
 	trialEvery time.Duration
 	triedAt    time.Time
@@ -69,8 +69,8 @@
 	Backoff bool
 }
 
-// Hear takes in what an answer says to a request that was sent at a time.
-func (r *Record) Hear(n lovageyard.Notice, sentAt, now time.Time) Change {
+// Observe takes in what an answer says to a request that was sent at a time.
+func (r *Record) Observe(n lovageyard.Backpressure, sentAt, now time.Time) Change {
 	change := Change{Limit: r.hearLimit(n, sentAt, now), Leaving: n.Leaving && !r.leaving}
 	r.leaving = r.leaving || n.Leaving
 	if n.Backoff > 0 {
@@ -90,7 +90,7 @@
 
 // hearLimit takes in the limit of an answer, and says whether it has changed. An answer without a limit lifts it only
 // if its request was sent after the limit was named: answers may overtake each other.
-func (r *Record) hearLimit(n lovageyard.Notice, sentAt, now time.Time) bool {
+func (r *Record) hearLimit(n lovageyard.Backpressure, sentAt, now time.Time) bool {
 	switch {
 	case n.Limited && r.limited && n.Limit == r.limit:
 		r.heardAt = now
@@ -98,12 +98,12 @@
 	case n.Limited:
 		if !r.limited {
 			r.namedAt = now
-			r.allowance = grant.NewAllowance(0, now)
+			r.allowance = grant.NewTokenBucket(0, now)
 		}
 		r.limited, r.limit, r.heardAt = true, n.Limit, now
 		r.divide(now)
 		return true
-	case n.Unclear, !r.limited, !sentAt.After(r.heardAt):
+	case n.InvalidLimit, !r.limited, !sentAt.After(r.heardAt):
 		return false
 	}
 	r.limited, r.limit = false, 0
@@ -112,7 +112,7 @@
 
 // divide works out this instance's part of the limit.
 func (r *Record) divide(now time.Time) {
-	r.rate = grant.Part(limitShare*r.limit, r.instances, r.server, r.self)
+	r.rate = grant.ShareOf(limitShare*r.limit, r.instances, r.server, r.self)
 	r.allowance.SetRate(r.rate, now)
 	trials := trialShare*r.limit + leastTrials
 	r.trialEvery = max(trialSpan, time.Duration(float64(len(r.instances))/trials*float64(time.Second)))
@@ -130,24 +130,24 @@
 
 // Allows says whether the server may get a request now.
 func (r *Record) Allows(now time.Time) bool {
-	until, ever := r.Until(now)
+	until, ever := r.EarliestSend(now)
 	return ever && !until.After(now)
 }
 
-// Take notes that a request is sent to the server.
-func (r *Record) Take(now time.Time) {
+// RecordSend notes that a request is sent to the server.
+func (r *Record) RecordSend(now time.Time) {
 	if r.limited && !r.allowance.Take(now) {
 		r.triedAt = now
 	}
 }
 
-// Refuses says whether the server takes nothing now, whatever limit it names.
-func (r *Record) Refuses(now time.Time) bool {
+// Rejects says whether the server takes nothing now, whatever limit it names.
+func (r *Record) Rejects(now time.Time) bool {
 	return r.leaving || now.Before(r.backoffUntil)
 }
 
-// Until returns when the server may get a request at the earliest, or false if it never will.
-func (r *Record) Until(now time.Time) (time.Time, bool) {
+// EarliestSend returns when the server may get a request at the earliest, or false if it never will.
+func (r *Record) EarliestSend(now time.Time) (time.Time, bool) {
 	if r.leaving {
 		return time.Time{}, false
 	}
@@ -168,7 +168,7 @@
 // nextTrial returns when the next trial may begin. The trials of instances are spread evenly over time, and none is made
 // soon after the limit was named: instances that are restarted again and again would make one each time.
 func (r *Record) nextTrial(now time.Time) time.Time {
-	phase := float64(instance.Mix(xxhash.Sum64String(r.self)^xxhash.Sum64String(r.server))>>11) / (1 << 53)
+	phase := float64(instance.MixHash(xxhash.Sum64String(r.self)^xxhash.Sum64String(r.server))>>11) / (1 << 53)
 	since := now.Sub(r.namedAt) - time.Duration((0.5+phase)*float64(r.trialEvery))
 	if since < 0 {
 		return now.Add(-since)
--- a/caller/forward.go
+++ b/caller/forward.go
@@ -38,9 +38,9 @@
 	handler  *Handler
 	writer   http.ResponseWriter
 	request  *http.Request
-	work     *route.Work
+	work     *route.ClassRoute
 	body     *requestBody
-	place    block.Place
+	place    block.Location
 	home     string
 	deadline time.Time
 	began    time.Time
@@ -72,8 +72,8 @@
 		deadline: began.Add(limit),
 		began:    began,
 	}
-	x.place, x.home = s.Place(clientOf(r))
-	work.Count(x.place, x.home)
+	x.place, x.home = s.Locate(clientOf(r))
+	work.CountRequest(x.place, x.home)
 	x.run()
 }
 
@@ -109,7 +109,7 @@
 	if !x.claim() {
 		return
 	}
-	x.work.Budget.Earn()
+	x.work.Budget.Deposit()
 	for x.attempt = 1; ; x.attempt++ {
 		failure := x.try()
 		if failure == nil {
@@ -151,7 +151,7 @@
 	if !x.body.whole() {
 		return false
 	}
-	return x.work.Budget.Spend()
+	return x.work.Budget.Withdraw()
 }
 
 // try makes one attempt; nil means that the caller has its answer.
@@ -159,7 +159,7 @@
 	now := x.handler.timer.Now()
 	previous := x.slot.Server.Name
 	x.slot = server.Result{}
-	x.choice = x.work.Choose(x.place, x.home, now)
+	x.choice = x.work.ChooseSite(x.place, x.home, now)
 	if x.choice.Err != nil {
 		return &attemptError{RequestError: x.choice.Err, status: http.StatusServiceUnavailable, retryAfter: x.choice.RetryAfter, refused: true}
 	}
@@ -212,14 +212,14 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{Got1xxResponse: x.passHint})
 	response, err := x.handler.backend.Stream(x.outgoing(ctx), x.slot.Server)
 	if err != nil {
-		x.release(started, lovageyard.Answer{Failed: true})
+		x.release(started, lovageyard.Outcome{Failed: true})
 		if x.isServersFault(ctx, started) {
-			x.choice.Pool.Suspect(x.slot.Server.Name)
+			x.choice.Pool.MarkUnreachable(x.slot.Server.Name)
 		}
 		return x.failed(err)
 	}
 	defer response.Body.Close()
-	answer := lovageyard.Answer{}
+	answer := lovageyard.Outcome{}
 	answer.Report, answer.Reported = link.ReportOf(response.Header)
 	if answer.Report.Leaving {
 		x.handler.watcher.ServerLeaving(x.work.Class.Service, x.choice.Site, x.slot.Server.Name)
@@ -277,7 +277,7 @@
 	return context.WithTimeout(ctx, left/2)
 }
 
-func (x *exchange) release(started time.Time, a lovageyard.Answer) {
+func (x *exchange) release(started time.Time, a lovageyard.Outcome) {
 	a.At = x.handler.timer.Now()
 	a.Duration = a.At.Sub(started)
 	x.choice.Pool.Release(x.slot, a)
@@ -287,7 +287,7 @@
 func (x *exchange) outgoing(ctx context.Context) *http.Request {
 	out := x.request.Clone(ctx)
 	out.RequestURI = ""
-	out.Header = link.EndToEnd(x.request.Header)
+	out.Header = link.EndToEndHeaders(x.request.Header)
 	out.Header.Del("Expect")
 	addForwardedFor(out.Header, x.request)
 	if out.Header.Get("User-Agent") == "" {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -29,7 +29,7 @@
 
 // step is what a backend server does with one attempt.
 type step struct {
-	answer *link.Answer
+	answer *link.Response
 	err    error
 	// hang waits for the end of the attempt's context.
 	hang bool
@@ -48,7 +48,7 @@
 	before func()
 }
 
-func (s *sender) Send(ctx context.Context, r link.Request) (*link.Answer, error) {
+func (s *sender) Send(ctx context.Context, r link.Request) (*link.Response, error) {
 	s.sent = append(s.sent, r)
 	if s.before != nil {
 		s.before()
@@ -66,7 +66,7 @@
 		return nil, lovageyard.MayHaveRun("hung", ctx.Err())
 	}
 	if s.observer != nil && next.answer != nil {
-		s.observer.Hear(lovageyard.BackendServer{Name: r.Server, Life: r.Life}, next.answer.Meta.Notice, time.Now())
+		s.observer.Observe(lovageyard.BackendServer{Name: r.Server, Incarnation: r.Incarnation}, next.answer.Meta.Backpressure, time.Now())
 	}
 	return next.answer, next.err
 }
@@ -80,7 +80,7 @@
 
 func (s source) View() *catalog.View { return s.view }
 
-func (s source) KnowledgeAge() time.Duration {
+func (s source) ConfigurationAge() time.Duration {
 	if s.age == nil {
 		return 0
 	}
@@ -131,8 +131,8 @@
 // View returns the present view.
 func (y *yard) View() *catalog.View { return y.view }
 
-// KnowledgeAge returns the age that the test has set.
-func (y *yard) KnowledgeAge() time.Duration { return source{age: y.age}.KnowledgeAge() }
+// ConfigurationAge returns the age that the test has set.
+func (y *yard) ConfigurationAge() time.Duration { return source{age: y.age}.ConfigurationAge() }
 
 // source returns what the handler takes its view from.
 func (y *yard) source() entry.Source {
@@ -152,7 +152,7 @@
 	y.view = &catalog.View{Snapshot: snapshot, Ready: true}
 	y.setRoute(lovageyard.Route{
 		Name: "r", Host: "a.example", Prefix: "/x/", Idempotent: true, Timeout: 20 * time.Second, Goal: 20 * time.Second,
-		Attempts: 2, Parts: []lovageyard.Part{{Service: "desk", Weight: 1}},
+		Attempts: 2, Parts: []lovageyard.ServiceWeight{{Service: "desk", Weight: 1}},
 	})
 	return y
 }
@@ -239,16 +239,16 @@
 }
 
 func good(status int) step {
-	return step{answer: &link.Answer{
+	return step{answer: &link.Response{
 		Status: status, Header: http.Header{"Proof": {"s"}, "Connection": {"close"}}, Body: []byte("whole"),
-		Meta: lovageyard.AnswerMeta{ID: "id-1", Sealed: true},
+		Meta: lovageyard.ResponseMeta{ID: "id-1", Sealed: true},
 	}}
 }
 
 func notRun(status int) step {
-	return step{answer: &link.Answer{
+	return step{answer: &link.Response{
 		Status: status, Header: http.Header{},
-		Meta: lovageyard.AnswerMeta{NotRun: true, Misdirected: status == http.StatusMisdirectedRequest},
+		Meta: lovageyard.ResponseMeta{NotRun: true, Misdirected: status == http.StatusMisdirectedRequest},
 	}}
 }
 
@@ -259,7 +259,7 @@
 }
 
 var (
-	unsealed = step{answer: &link.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("spoiled")}}
+	unsealed = step{answer: &link.Response{Status: http.StatusOK, Header: http.Header{}, Body: []byte("spoiled")}}
 	lost     = step{err: lovageyard.MayHaveRun("the connection ended", nil)}
 	unsent   = step{err: lovageyard.NotRun("not reached", nil)}
 )
@@ -346,11 +346,11 @@
 func TestLeavingInstanceClosesConnectionsAndLaterRefuses(t *testing.T) {
 	y := newYard(t, good(200))
 	y.view.Leaving = true
-	y.view.EndsAt = time.Now().Add(time.Hour)
+	y.view.ShutdownAt = time.Now().Add(time.Hour)
 	response := y.ask(http.MethodGet, "/x/", "")
 	y.c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
 	y.c.Assert(response.Header.Get("Connection"), qt.Equals, "close")
-	y.view.Closing = true
+	y.view.Refusing = true
 	y.c.Assert(y.ask(http.MethodGet, "/x/", "").StatusCode, qt.Equals, http.StatusServiceUnavailable)
 }
 
@@ -378,13 +378,13 @@
 	y := newYard(t, good(200))
 	y.setRoute(lovageyard.Route{Name: "r", Host: "a.example", Prefix: "/x/", Timeout: 8 * time.Second, Attempts: 1})
 	y.view.Leaving = true
-	y.view.EndsAt = time.Now().Add(6 * time.Second)
+	y.view.ShutdownAt = time.Now().Add(6 * time.Second)
 	response := y.ask(http.MethodPost, "/x/", "b")
 	y.c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	y.c.Assert(response.Header.Get("Retry-After"), qt.Equals, "0.050")
 	y.c.Assert(response.Header.Get("Connection"), qt.Equals, "close")
 	y.c.Assert(y.sender.sent, qt.HasLen, 0)
-	y.view.EndsAt = time.Now().Add(20 * time.Second)
+	y.view.ShutdownAt = time.Now().Add(20 * time.Second)
 	y.c.Assert(y.ask(http.MethodPost, "/x/", "b").StatusCode, qt.Equals, http.StatusOK)
 }
 
@@ -457,7 +457,7 @@
 	c.Assert(ask("south"), qt.Equals, `{"Addresses":["c"],"TtlS":2}`)
 	c.Assert(ask("west"), qt.Equals, `{"Addresses":["a","c"],"TtlS":2}`)
 	// One that may not know the newest configuration is named if the region has no other.
-	view.Live[0].Behind = true
+	view.Live[0].Stale = true
 	c.Assert(ask("north"), qt.Equals, `{"Addresses":["a"],"TtlS":2}`)
 	view.Live = append(view.Live, member("d", "north", lovageyard.StateLive))
 	c.Assert(ask("north"), qt.Equals, `{"Addresses":["d"],"TtlS":2}`)
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -27,8 +27,8 @@
 // Source gives the view in force.
 type Source interface {
 	View() *catalog.View
-	// KnowledgeAge returns how long ago the configuration in force was known to be the newest.
-	KnowledgeAge() time.Duration
+	// ConfigurationAge returns how long ago the configuration in force was known to be the newest.
+	ConfigurationAge() time.Duration
 }
 
 // Codec translates the headers of the wire.
@@ -42,7 +42,7 @@
 
 // Sender makes one attempt at a backend server; a failure is a *lovageyard.RequestError.
 type Sender interface {
-	Send(ctx context.Context, r link.Request) (*link.Answer, error)
+	Send(ctx context.Context, r link.Request) (*link.Response, error)
 	Forget(server string)
 }
 
@@ -136,7 +136,7 @@
 
 // serve checks the request and runs it.
 func (x *exchange) serve() {
-	if x.view.Closing || x.view.Configuration == nil {
+	if x.view.Refusing || x.view.Configuration == nil {
 		x.refuse(causeClosing, "this instance takes no requests", retrySoon, nil)
 		return
 	}
@@ -189,7 +189,7 @@
 // outlivesInstance says whether the request may last longer than this instance, which leaves. It
 // would be cut off while its server is at work; another instance takes it at once.
 func (x *exchange) outlivesInstance() bool {
-	return x.view.Leaving && x.end.After(x.view.EndsAt)
+	return x.view.Leaving && x.end.After(x.view.ShutdownAt)
 }
 
 // setDeadlines sets when the servers have to be done, which is the shorter of the client's
@@ -201,7 +201,7 @@
 		limit = defaultDeadline
 		end = limit
 	}
-	if client := x.meta.Deadline; client > 0 {
+	if client := x.meta.Timeout; client > 0 {
 		limit = min(limit, client)
 		end = min(end, client-answerMargin)
 	}
--- a/fleet/narrow_test.go
+++ b/fleet/narrow_test.go
@@ -93,7 +93,7 @@
 	for range routes {
 		c.Routes = append(c.Routes, lovageyard.Route{
 			Name: fmt.Sprintf("r-%x", random.Uint32()), Host: "a.example", Prefix: fmt.Sprintf("/%x/", random.Uint64()),
-			Attempts: 1, Parts: []lovageyard.Part{{Service: "desk"}},
+			Attempts: 1, Parts: []lovageyard.ServiceWeight{{Service: "desk"}},
 		})
 	}
 	return c
@@ -195,7 +195,7 @@
 // baseless is a peer that sends differences from a base that nobody else has, unless it is
 // asked for whole values.
 type baseless struct {
-	packer peer.Packer
+	packer peer.Encoder
 	row    lovageyard.Row
 }
 
@@ -210,7 +210,7 @@
 	}
 	changes := lovageyard.Changes{To: p.row.Version, Rows: []lovageyard.Row{p.row}}
 	return &wire.ShareReply{
-		Changes: []*wire.TableChanges{{Table: p.row.Table, Changes: p.packer.FromChanges(changes, baseOf)}},
+		Changes: []*wire.TableChanges{{Table: p.row.Table, Changes: p.packer.EncodeChanges(changes, baseOf)}},
 		Stale:   true,
 	}, nil
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -23,9 +23,9 @@
 // codec reads the identity of an answer, and refusals.
 type codec struct{}
 
-func (codec) Answer(r *http.Response) lovageyard.AnswerMeta {
+func (codec) Answer(r *http.Response) lovageyard.ResponseMeta {
 	misdirected := r.StatusCode == http.StatusMisdirectedRequest
-	return lovageyard.AnswerMeta{
+	return lovageyard.ResponseMeta{
 		ID: r.Header.Get("Id"), Sealed: true,
 		NotRun: misdirected || r.StatusCode == http.StatusServiceUnavailable, Misdirected: misdirected,
 	}
@@ -105,7 +105,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func newLink(c *qt.C) *link.Link {
+func newLink(c *qt.C) *link.Transport {
 	l := link.New(codec{}, timer.Clock{}, nil)
 	c.Cleanup(l.Close)
 	return l
@@ -120,7 +120,7 @@
 }
 
 // send sends with a bound on the wait, so that a failing test ends.
-func send(c *qt.C, l *link.Link, r link.Request) (*link.Answer, error) {
+func send(c *qt.C, l *link.Transport, r link.Request) (*link.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	c.Cleanup(cancel)
 	return l.Send(ctx, r)
@@ -235,8 +235,8 @@
 		_, err = send(c, l, request(b, "2", true))
 		c.Assert(err, qt.IsNotNil, qt.Commentf("%s", status))
 		c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
-		c.Assert(failureOf(c, err).Broken, qt.IsTrue)
-		c.Assert(failureOf(c, err).Ended, qt.Equals, strings.HasPrefix(status, "421"))
+		c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
+		c.Assert(failureOf(c, err).ServerExited, qt.Equals, strings.HasPrefix(status, "421"))
 	}
 }
 
@@ -367,11 +367,11 @@
 	after := newBackendServer(c, answer("2", "two"))
 	l := newLink(c)
 	r := request(before, "1", true)
-	r.Life = 100
+	r.Incarnation = 100
 	_, err := send(c, l, r)
 	c.Assert(err, qt.IsNil)
 	r = request(after, "2", true)
-	r.Life = 200
+	r.Incarnation = 200
 	second, err := send(c, l, r)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(second.Body), qt.Equals, "two")
@@ -393,18 +393,18 @@
 	b := newBackendServer(c, "", answer("2", "two"), "")
 	l := newLink(c)
 	_, err := send(c, l, request(b, "1", true))
-	c.Assert(failureOf(c, err).Broken, qt.IsTrue)
-	c.Assert(failureOf(c, err).Ended, qt.IsFalse)
+	c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
+	c.Assert(failureOf(c, err).ServerExited, qt.IsFalse)
 	_, err = send(c, l, request(b, "2", true))
 	c.Assert(err, qt.IsNil)
 	b.listener.Close()
 	// The kept connection is closed, and a new one refused.
 	_, err = send(c, l, request(b, "3", true))
-	c.Assert(failureOf(c, err).Broken, qt.IsTrue)
-	c.Assert(failureOf(c, err).Ended, qt.IsTrue)
+	c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
+	c.Assert(failureOf(c, err).ServerExited, qt.IsTrue)
 	_, err = send(c, l, request(b, "4", true))
-	c.Assert(failureOf(c, err).Broken, qt.IsFalse)
-	c.Assert(failureOf(c, err).Ended, qt.IsTrue)
+	c.Assert(failureOf(c, err).ConnectionLost, qt.IsFalse)
+	c.Assert(failureOf(c, err).ServerExited, qt.IsTrue)
 }
 
 func TestProbeTellsAServerThatEnded(t *testing.T) {
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -48,7 +48,7 @@
 	logger    *logrus.Logger
 	timer     lovageyard.Timer
 	control   *control.Control
-	link      *link.Link
+	link      *link.Transport
 	platform  *platform.Store
 	peers     *peer.Client
 	charges   *charge.Store
@@ -106,7 +106,7 @@
 	clock := timer.Clock{}
 	self := lovageyard.EntryInstance{
 		Name:            o.Instance,
-		Life:            clock.Now().UnixNano(),
+		Incarnation:     clock.Now().UnixNano(),
 		FailureDomain:   o.FailureDomain,
 		Region:          o.Region,
 		CallerAddress:   l.callers.Addr().String(),
@@ -133,7 +133,7 @@
 		options:  o,
 		logger:   logger,
 		timer:    clock,
-		link:     link.New(link.OwnHeaders{}, clock, nil),
+		link:     link.New(link.LoadHeaderCodec{}, clock, nil),
 		platform: platform.NewStore(o.PlatformAddress, logger),
 		peers:    peer.NewClient(),
 	}
@@ -154,11 +154,11 @@
 		KeepFor:   o.KeepFor,
 		Headroom:  o.Headroom,
 		Pool:      server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
-		Latencies: placement.Latencies{SameRegion: o.SameRegionDelay, Else: o.OtherRegionDelay},
+		Latencies: placement.Latencies{SameRegion: o.SameRegionDelay, OtherRegion: o.OtherRegionDelay},
 		LeaseSpan: o.LeaseSpan,
-		Seed:      uint64(self.Life),
+		Seed:      uint64(self.Incarnation),
 	})
-	d.charges = charge.NewStore(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Life))
+	d.charges = charge.NewStore(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
 	handler := caller.NewHandler(caller.Settings{
 		Source:   d.control,
 		Watcher:  d.control,
@@ -182,7 +182,7 @@
 	for {
 		select {
 		case now := <-watch.C():
-			d.link.Expire(now)
+			d.link.CloseExpired(now)
 		case <-leave:
 			return
 		}
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -60,7 +60,7 @@
 	meters   *meter.Set
 	store    *platform.Store
 	peers    *peer.Client
-	link     *link.Link
+	link     *link.Transport
 	dispatch *dispatch.Table
 	watch    *quarantine.Monitor
 	control  *fleet.Control
@@ -92,7 +92,7 @@
 			}
 			e.reload("signal")
 		case now := <-watch.C():
-			e.link.Expire(now)
+			e.link.CloseExpired(now)
 			e.measure(now)
 			if file.changed() {
 				e.reload("file changed")
@@ -116,7 +116,7 @@
 	clock := timer.Clock{}
 	self := lovageyard.EntryInstance{
 		Name:          o.Instance,
-		Life:          clock.Now().UnixNano(),
+		Incarnation:   clock.Now().UnixNano(),
 		FailureDomain: o.FailureDomain,
 		Region:        o.Region,
 		CallerAddress: sockets.callers.Addr().String(),
@@ -152,9 +152,9 @@
 		Self:          o.Instance,
 		FailureDomain: o.FailureDomain,
 		Region:        o.Region,
-		Demand:        o.demand(),
+		DemandShare:   o.demand(),
 		Bounds:        o.bounds(),
-		Seed:          uint64(self.Life),
+		Seed:          uint64(self.Incarnation),
 	})
 	notices := &entry.NoticeObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
 	e.link = link.New(platform.Headers{}, e.timer, notices)
@@ -165,15 +165,15 @@
 		Registrar:  e.store,
 		Decoder:    platform.Decoder{Regions: o.Regions},
 		Peers:      e.peers,
-		Follower:   e.dispatch,
+		Observer:   e.dispatch,
 		Quarantine: e.watch,
 		Timer:      e.timer,
 		Logger:     e.logger,
 		Metrics:    e.meters,
 		Seeds:      o.PeerAddresses,
-		Seed:       uint64(self.Life),
+		Seed:       uint64(self.Incarnation),
 
-		ConfirmWithin: o.RevokeWithin,
+		MaxConfigurationAge: o.RevokeWithin,
 	})
 	e.limiter = quota.NewLimiter(quota.Settings{
 		Self:    o.Instance,
@@ -290,7 +290,7 @@
 		e.version = version
 		e.versionSince = now
 	}
-	census := e.dispatch.Census(now)
+	census := e.dispatch.Stats(now)
 	dropped := e.sink.Dropped()
 	e.meters.Update(meter.Connections, e.link.Opened())
 	e.meters.Update(meter.ServersKnown, int64(census.Servers))
@@ -301,12 +301,12 @@
 	e.meters.Update(meter.InFlight, int64(census.InFlight))
 	e.meters.Update(meter.ConfigurationNow, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
-	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.KnowledgeAge()))
+	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfigurationAge()))
 	e.meters.Update(meter.LimitsTight, int64(e.limiter.MeteredCount()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
 	e.meters.Update(meter.LogDroppedOther, dropped.Other)
-	for service, share := range census.Elsewhere {
+	for service, share := range census.RemoteShares {
 		e.meters.Update(meter.ShareElsewhere, int64(1000*share), service)
 	}
 }
@@ -333,7 +333,7 @@
 	endsAt := began.Add(time.Duration(closeAfter * float64(e.options.LeaveWithin)))
 	e.control.Leave(endsAt)
 	e.wait(time.Duration(refuseAfter * float64(e.options.LeaveWithin)))
-	e.control.Refuse()
+	e.control.RefuseRequests()
 	bound, cancel := context.WithTimeout(context.Background(), endsAt.Sub(e.timer.Now()))
 	defer cancel()
 	if err := e.callers.Shutdown(bound); err != nil {
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -52,5 +52,5 @@
 
 // hash returns a hash of the name and incarnation, which is the same on all instances.
 func (s Server) hash() uint64 {
-	return instance.Mix(xxhash.Sum64String(s.Name) ^ uint64(s.Incarnation))
+	return instance.MixHash(xxhash.Sum64String(s.Name) ^ uint64(s.Incarnation))
 }
--- a/quarantine/monitor.go
+++ b/quarantine/watch.go
@@ -109,7 +109,7 @@
 	w.settings.Metrics.Count(meter.ServersEnded, server.Service)
 	w.settings.Logger.WithFields(logrus.Fields{
 		"server":       server.Name,
-		"life":         server.Life,
+		"life":         server.Incarnation,
 		"service":      server.Service,
 		"requests":     len(requests),
 		"fingerprints": formatAll(requests),
@@ -256,7 +256,7 @@
 }
 
 func incarnationOf(server lovageyard.BackendServer) Server {
-	return Server{Name: server.Name, Incarnation: server.Life}
+	return Server{Name: server.Name, Incarnation: server.Incarnation}
 }
 
 func formatAll(requests []uint64) []string {
