--- a/quota/bound.go
+++ b/quota/bound.go
@@ -6,43 +6,44 @@
 	"lovageyard.example/lovageyard"
 )
 
-// tokensLast is how long tokens may be used that an owner has handed out.
-const tokensLast = 350 * time.Millisecond
+// tokenLifetime is how long granted tokens may be used.
+const tokenLifetime = 350 * time.Millisecond
 
-// limitShare and slackShare are the parts of what a bound allows that owners hand out. The rest is for requests that
-// instances admit before their owner knows: for small accounts these are many beside their limit.
+// limitShare and slackShare are the fractions of a bound's limit and slack that owners hand out. The rest is
+// left for requests that instances admit before their owner learns of them, which are many for small accounts
+// in proportion to the limit.
 const (
 	limitShare = 0.97
 	slackShare = 0.3
 )
 
-// Bound is what operators allow the requests of an account to be in any window, over all instances: the
-// limit, and a part of it and some requests beyond.
+// Bound is the number of requests of an account that operators tolerate in any window, over all instances
+// together: the limit, plus Excess as a fraction of it, plus Slack requests.
 type Bound struct {
 	Window time.Duration
 	Excess float64
 	Slack  float64
 }
 
-// span is the time in which the requests of one window may have got their tokens.
-func (b Bound) span() time.Duration {
-	return b.Window + tokensLast
+// accountingWindow is the time within which the requests of one window may have been granted their tokens.
+func (b Bound) accountingWindow() time.Duration {
+	return b.Window + tokenLifetime
 }
 
-// allowance returns how many tokens of an account may be handed out in any span.
+// allowance returns how many tokens of an account may be handed out within any accountingWindow.
 func (b Bound) allowance(a *lovageyard.Account) float64 {
 	limit := a.Rate*b.Window.Seconds() + a.Burst
 	return limitShare*limit*(1+b.Excess) + slackShare*b.Slack
 }
 
-// capacity returns the size of an account's bucket: what may run at once when little ran before. The slack lets
-// small accounts through whose few requests come unevenly.
+// capacity returns the size of an account's bucket, that is, the burst that is admitted after little traffic.
+// Half of the slack is added for small accounts, whose few requests arrive unevenly.
 func (b Bound) capacity(a *lovageyard.Account) float64 {
 	return a.Burst + b.Slack/2
 }
 
-// rate returns the rate in tokens a second at which the allowance lasts: an account that asks for more than its
-// limit is served evenly, not in bursts.
+// rate returns the refill rate in tokens a second that uses up the allowance, so that an account beyond its
+// limit is served evenly instead of in bursts.
 func (b Bound) rate(a *lovageyard.Account) float64 {
-	return b.allowance(a) / b.span().Seconds()
+	return b.allowance(a) / b.accountingWindow().Seconds()
 }
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -5,86 +5,91 @@
 	"time"
 )
 
-// Times and shares by which a bucket is judged.
+// Times and fractions that control a bucket.
 const (
-	// demandSpan is the time over which an account's demand is averaged.
-	demandSpan = time.Second
-	// An account becomes tight when its bucket is less than tightLevel full or its demand above
-	// tightDemand of its limit, and is no longer when both are well past that: a surge is heard of some
-	// tenths of a second later, in which several times the usual may run.
-	tightLevel  = 0.5
-	tightDemand = 0.75
-	looseLevel  = 0.6
-	looseDemand = 0.65
-	// usualSpread is how far the demand of a second strays from its mean, in roots of the limit.
-	usualSpread = 2.0
-	// firstPart is the part of a bucket that an owner begins with if nobody knows anything, as after a stop
-	// of all instances: enough for accounts below their limits, and within what the bound allows beyond a limit.
-	firstPart = 0.2
-	// leastRetry and longestRetry bound when a refused caller comes back.
-	leastRetry   = 50 * time.Millisecond
-	longestRetry = 2 * time.Second
+	// demandWindow is the time constant of the moving average of an account's demand.
+	demandWindow = time.Second
+	// An account becomes metered when its bucket is less than meteredLevel full or its demand exceeds
+	// meteredDemand of its limit, and unmetered when it is well past both, as hysteresis. The levels leave
+	// room because instances learn of a surge some tenths of a second late, and admit several times the usual
+	// load until then.
+	meteredLevel    = 0.5
+	meteredDemand   = 0.75
+	unmeteredLevel  = 0.6
+	unmeteredDemand = 0.65
+	// demandDeviations is how far the demand of one second deviates from its mean, in units of the square root
+	// of the limit.
+	demandDeviations = 2.0
+	// initialFraction is the fraction of a full bucket that an owner starts with if no instance knows the
+	// account's state, as after a restart of all instances. It suffices for accounts below their limits and
+	// stays within the excess that the bound allows.
+	initialFraction = 0.2
+	// minRetry and maxRetry bound the retry time that is sent to rejected callers.
+	minRetry = 50 * time.Millisecond
+	maxRetry = 2 * time.Second
 )
 
-// bucket holds the tokens of one account.
+// bucket is the token bucket of one account.
 type bucket struct {
-	level  float64
-	demand float64
-	at     time.Duration
-	tight  bool
-	// takenAt is when the account was last taken over from another owner.
-	takenAt time.Duration
-	// isFirst says that nobody knew of the account when the bucket was made, and first is the part of firstPart
-	// that it has got since.
-	isFirst bool
-	first   float64
-	// used counts what was handed out of late.
-	used usage
+	level     float64
+	demand    float64
+	updatedAt time.Duration
+	metered   bool
+	// takenOverAt is when the account was last taken over from another owner.
+	takenOverAt time.Duration
+	// unknownBefore reports whether no instance knew the account's state when the bucket was created;
+	// initialShare is the share of the instances for which it has been given initial tokens.
+	unknownBefore bool
+	initialShare  float64
+	// spent counts the tokens handed out recently.
+	spent usage
 }
 
-// take takes tokens out, or puts them back if the number is below 0.
-func (b *bucket) take(tokens, capacity float64, span, now time.Duration) {
+// take removes tokens, or adds them if the number is negative.
+func (b *bucket) take(tokens, capacity float64, window, now time.Duration) {
 	b.level = min(b.level-tokens, max(b.level, capacity))
-	b.used.add(tokens, span, now)
+	b.spent.add(tokens, window, now)
 }
 
-// advance lets time pass.
+// advance refills the bucket and decays the demand up to now.
 func (b *bucket) advance(rate, capacity float64, now time.Duration) {
-	passed := now - b.at
-	b.at = now
-	// What is there beyond the capacity stays, as after a take-over from which few instances were heard yet.
+	passed := now - b.updatedAt
+	b.updatedAt = now
+	// A level beyond the capacity is kept. It occurs after a take-over, while few instances have reported yet
+	// and the capacity is small.
 	b.level = max(b.level, min(capacity, b.level+rate*passed.Seconds()))
-	b.demand = max(0, b.demand) * math.Exp(-float64(passed)/float64(demandSpan))
+	b.demand = max(0, b.demand) * math.Exp(-float64(passed)/float64(demandWindow))
 }
 
-// fillFirst gives a bucket that knows nothing of before what it begins with, for the instances that report by now,
-// once these are most of all: one that ends again and again by itself gets nothing.
-func (b *bucket) fillFirst(share, capacity float64) {
-	if !b.isFirst || share <= max(b.first, mostInstances) {
+// fillInitial adds the initial tokens to a bucket without known state, in proportion to the instances that
+// have reported. It requires a majority of them, so that an instance that restarts repeatedly does not get
+// tokens each time.
+func (b *bucket) fillInitial(share, capacity float64) {
+	if !b.unknownBefore || share <= max(b.initialShare, majority) {
 		return
 	}
-	b.level += firstPart * capacity * (share - b.first)
-	b.first = share
+	b.level += initialFraction * capacity * (share - b.initialShare)
+	b.initialShare = share
 }
 
-// judge decides whether requests need tokens.
-func (b *bucket) judge(left, rate, capacity float64) {
+// updateMetered decides whether requests of the account need tokens.
+func (b *bucket) updateMetered(left, rate, capacity float64) {
 	switch {
-	case left < tightLevel*capacity || b.demand > tightDemand*rate+usualSpread*math.Sqrt(rate):
-		b.tight = true
-	case left >= looseLevel*capacity && b.demand <= looseDemand*rate+usualSpread*math.Sqrt(rate):
-		b.tight = false
+	case left < meteredLevel*capacity || b.demand > meteredDemand*rate+demandDeviations*math.Sqrt(rate):
+		b.metered = true
+	case left >= unmeteredLevel*capacity && b.demand <= unmeteredDemand*rate+demandDeviations*math.Sqrt(rate):
+		b.metered = false
 	}
 }
 
-// retryAfter returns when there will be room for requests that got no token.
+// retryAfter returns when the missing tokens will be available.
 func retryAfter(missing, left, rate float64) time.Duration {
 	if missing <= 0 {
 		return 0
 	}
 	if rate <= 0 {
-		return longestRetry
+		return maxRetry
 	}
 	wait := time.Duration((missing - left) / rate * float64(time.Second))
-	return min(longestRetry, max(leastRetry, wait))
+	return min(maxRetry, max(minRetry, wait))
 }
--- a/quota/convert.go
+++ b/quota/convert.go
@@ -16,10 +16,10 @@
 	return r
 }
 
-// maxCount bounds the counts of a report: no instance admits as many in one.
+// maxCount bounds the counts of a report; no instance admits that many requests between two reports.
 const maxCount = 1 << 20
 
-// fromUses returns the uses of a message; counts that can't be are left out.
+// fromUses converts the uses of a message and drops those with counts out of range.
 func fromUses(uses []*wire.Use) []Use {
 	var out []Use
 	for _, u := range uses {
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -7,174 +7,179 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Times of an instance's decisions.
+// Times and bounds of the decisions of an instance.
 const (
-	// trustFor is how long an instance goes by an owner's word.
-	trustFor = 2 * time.Second
-	// prefetchFor is the time for which tokens are asked for in advance while an account is tight.
-	prefetchFor = 200 * time.Millisecond
-	// longestPause is how long an account without tokens is not asked for again.
-	longestPause = 300 * time.Millisecond
-	// unreportedPart is the part of an account's burst that all instances together may admit before they have
-	// reported, or each fewUnreported requests if that is more.
-	unreportedPart = 0.3
-	fewUnreported  = 2
-	// ownSpan is the time for which an instance may save up its own part of a limit.
-	ownSpan = 100 * time.Millisecond
-	// retryUnasked is when to come back after a refusal as no owner could be asked; others take over by then.
-	retryUnasked = 300 * time.Millisecond
-	// idleAfter is when an account that sends nothing is forgotten.
-	idleAfter = 10 * time.Second
+	// replyLifetime is how long an owner's reply is valid.
+	replyLifetime = 2 * time.Second
+	// prefetchWindow is the time for which tokens are requested in advance while an account is metered.
+	prefetchWindow = 200 * time.Millisecond
+	// maxPause bounds how long no tokens are requested for an account that was refused some.
+	maxPause = 300 * time.Millisecond
+	// unreportedFraction is the fraction of an account's burst that all instances together may admit before
+	// they have reported. Each may admit minUnreported requests if that is more.
+	unreportedFraction = 0.3
+	minUnreported      = 2
+	// localBurstWindow is the time for which an instance may accumulate its own share of a limit.
+	localBurstWindow = 100 * time.Millisecond
+	// retryWithoutOwner is when to retry after a rejection because no owner could be reached. By then another
+	// owner has taken over.
+	retryWithoutOwner = 300 * time.Millisecond
+	// idleTimeout is when an account without requests is removed.
+	idleTimeout = 10 * time.Second
 )
 
-// Verdict is whether a request is within its account's limit.
+// Verdict says whether a request is within its account's limit.
 type Verdict int
 
-// The verdicts.
+// The possible verdicts.
 const (
 	// Admitted requests may run.
 	Admitted Verdict = iota
-	// Pending requests wait for tokens, which have to be asked for.
+	// Pending requests wait for tokens, which have to be requested from the owner.
 	Pending
-	// Refused requests are beyond the limit.
+	// Refused requests exceed the limit.
 	Refused
 )
 
-// Decision is a verdict, and when a refused caller should come back.
+// Decision is a verdict and, for a refused request, the time after which to retry.
 type Decision struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
 }
 
-// word is what was heard from an owner last.
-type word struct {
-	// askedAt is when it was asked.
+// ownerReply is the latest reply of an owner.
+type ownerReply struct {
+	// askedAt is when the request for the reply was sent.
 	askedAt time.Duration
-	// warmingUp says that accounts which it does not name are tight, too.
+	// warmingUp reports whether accounts that the reply does not name are metered as well.
 	warmingUp bool
 }
 
-// entry is what an instance knows of one account.
+// entry is the state of one account at an instance.
 type entry struct {
-	// tight says that requests need tokens, by the word of an owner that was asked at heardAt.
-	tight   bool
-	heardAt time.Duration
-	// level is the number of tokens that its bucket had then, or 0 if that was not said.
+	// metered reports whether requests need tokens, according to the owner's reply to the request sent at
+	// stateAt.
+	metered bool
+	stateAt time.Duration
+	// level is the number of tokens in the owner's bucket at that time, or 0 if the reply did not name the
+	// account.
 	level int
-	// owner is the one whose word that is.
+	// owner is the instance that sent the reply.
 	owner string
-	// usesTokens says that tokens are asked for in advance: the account is tight, or sends more here than may
-	// be admitted without.
-	usesTokens bool
-	// used and returned are to be reported.
+	// prefetches reports whether tokens are requested in advance. They are if the account is metered, or if it
+	// sends more requests here than may be admitted without tokens.
+	prefetches bool
+	// used and returned are the counts for the next report.
 	used, returned int
 	tokens         int
 	tokensUntil    time.Duration
-	// waiting is the number of requests that wait for tokens.
-	waiting int
-	// pausedUntil is when the owner may have tokens again, and retryAfter what refused callers are told.
+	// pending is the number of requests that wait for tokens.
+	pending int
+	// pausedUntil is when the owner may have tokens again, and retryAfter the retry time for refused callers.
 	pausedUntil time.Duration
 	retryAfter  time.Duration
-	// demand is the number of requests a second of late.
+	// demand is the recent request rate, per second.
 	demand   float64
 	demandAt time.Duration
-	// own is the bucket of this instance's own part of the limit, for when no owner can be asked; it
-	// fills from the last answer of one.
-	own   float64
-	ownAt time.Duration
+	// localTokens is the bucket of this instance's own share of the limit, which is used while no owner can be
+	// reached. It fills from the last reply of an owner on.
+	localTokens    float64
+	localUpdatedAt time.Duration
 }
 
-// Ledger is what an instance admits. It is not safe for concurrent use.
+// Ledger decides which requests an instance admits. It is not safe for concurrent use.
 type Ledger struct {
 	entries map[string]*entry
-	// words holds what was heard from each owner.
-	words map[string]word
-	began time.Duration
-	// sharers is the number of instances that share the limits.
-	sharers int
+	// replies holds the latest reply of each owner.
+	replies   map[string]ownerReply
+	startedAt time.Duration
+	// instances is the number of instances that share the limits.
+	instances int
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns an empty ledger. Times are readings of a monotonic clock.
 func NewLedger(now time.Duration) *Ledger {
-	return &Ledger{entries: make(map[string]*entry), words: make(map[string]word), began: now, sharers: 1}
+	return &Ledger{entries: make(map[string]*entry), replies: make(map[string]ownerReply), startedAt: now, instances: 1}
 }
 
-// SetInstanceCount sets the number of instances that share the limits.
+// SetInstanceCount sets the number of instances that share the limits; values below 1 count as 1.
 func (l *Ledger) SetInstanceCount(count int) {
-	l.sharers = max(1, count)
+	l.instances = max(1, count)
 }
 
 func (l *Ledger) entry(account string) *entry {
 	e := l.entries[account]
 	if e == nil {
-		e = &entry{ownAt: l.began, demandAt: l.began, tight: true}
+		e = &entry{localUpdatedAt: l.startedAt, demandAt: l.startedAt, metered: true}
 		l.entries[account] = e
 	}
 	return e
 }
 
-// isTight says whether requests need tokens; they do as well if no owner was heard of late.
-func (e *entry) isTight(now time.Duration) bool {
-	return e.tight || now-e.heardAt > trustFor
+// isMetered reports whether requests need tokens. They also do if no owner has replied recently.
+func (e *entry) isMetered(now time.Duration) bool {
+	return e.metered || now-e.stateAt > replyLifetime
 }
 
-// Admit judges a request of an account with an owner.
+// Admit decides on a new request of an account that belongs to the given owner. A Pending request has to be
+// passed to Resume or AdmitLocally later.
 func (l *Ledger) Admit(a *lovageyard.Account, owner string, now time.Duration) Decision {
 	_, known := l.entries[a.Name]
 	e := l.entry(a.Name)
 	if !known {
-		// Owners name all accounts that are tight.
-		w := l.newest(owner)
-		e.tight, e.heardAt, e.owner = w.warmingUp || w.askedAt == 0, w.askedAt, owner
+		// Replies name all metered accounts, so that an unknown account is unmetered.
+		reply := l.latestReply(owner)
+		e.metered, e.stateAt, e.owner = reply.warmingUp || reply.askedAt == 0, reply.askedAt, owner
 	}
-	e.note(now)
-	answer := l.judge(e, a, now)
+	e.recordDemand(now)
+	answer := l.decide(e, a, now)
 	if answer.Verdict == Pending {
-		e.waiting++
+		e.pending++
 	}
 	return answer
 }
 
-// HasOwnerReply says whether an owner has answered.
+// HasOwnerReply reports whether any owner has replied since the start.
 func (l *Ledger) HasOwnerReply() bool {
-	return len(l.words) > 0
+	return len(l.replies) > 0
 }
 
-// MeteredCount returns the number of accounts that need tokens by an owner's word of late.
+// MeteredCount returns the number of accounts that need tokens according to a reply that is still valid.
 func (l *Ledger) MeteredCount(now time.Duration) int {
 	count := 0
 	for _, e := range l.entries {
-		if e.tight && now-e.heardAt <= trustFor {
+		if e.metered && now-e.stateAt <= replyLifetime {
 			count++
 		}
 	}
 	return count
 }
 
-// newest returns the last word of an owner, or if there is none of late, that of another.
-func (l *Ledger) newest(owner string) word {
-	w := l.words[owner]
-	for _, other := range l.words {
-		if other.askedAt-w.askedAt > trustFor {
-			w = other
+// latestReply returns the last reply of an owner, or that of another owner if it is newer by more than
+// replyLifetime.
+func (l *Ledger) latestReply(owner string) ownerReply {
+	reply := l.replies[owner]
+	for _, other := range l.replies {
+		if other.askedAt-reply.askedAt > replyLifetime {
+			reply = other
 		}
 	}
-	return w
+	return reply
 }
 
-// Resume judges a request that was pending once more; it stays pending if there is no answer yet.
+// Resume decides again on a pending request. The request stays pending if its tokens have not arrived yet.
 func (l *Ledger) Resume(a *lovageyard.Account, now time.Duration) Decision {
 	e := l.entry(a.Name)
-	answer := l.judge(e, a, now)
+	answer := l.decide(e, a, now)
 	if answer.Verdict != Pending {
-		e.waiting--
+		e.pending--
 	}
 	return answer
 }
 
-func (l *Ledger) judge(e *entry, a *lovageyard.Account, now time.Duration) Decision {
+func (l *Ledger) decide(e *entry, a *lovageyard.Account, now time.Duration) Decision {
 	switch {
-	case !e.isTight(now) && float64(e.used) < l.unreported(a):
+	case !e.isMetered(now) && float64(e.used) < l.unreportedLimit(a):
 		e.used++
 		return Decision{Verdict: Admitted}
 	case e.takeToken(now):
@@ -185,26 +190,28 @@
 	return Decision{Verdict: Pending}
 }
 
-// unreported returns how many requests of an account may be admitted without tokens before they are reported.
-func (l *Ledger) unreported(a *lovageyard.Account) float64 {
-	return max(fewUnreported, unreportedPart*a.Burst/float64(l.sharers))
+// unreportedLimit returns how many requests of an account may be admitted without tokens before they are
+// reported.
+func (l *Ledger) unreportedLimit(a *lovageyard.Account) float64 {
+	return max(minUnreported, unreportedFraction*a.Burst/float64(l.instances))
 }
 
-// AdmitLocally judges a request that has waited for an owner in vain, by this instance's own part of the limit.
+// AdmitLocally decides on a pending request whose owner did not reply in time. It uses this instance's own
+// share of the limit.
 func (l *Ledger) AdmitLocally(a *lovageyard.Account, now time.Duration) Decision {
 	e := l.entry(a.Name)
-	e.waiting--
-	rate := a.Rate / float64(l.sharers)
-	e.own = min(1+rate*ownSpan.Seconds(), e.own+rate*(now-e.ownAt).Seconds())
-	e.ownAt = now
-	if e.own < 1 {
-		return Decision{Verdict: Refused, RetryAfter: retryUnasked}
+	e.pending--
+	rate := a.Rate / float64(l.instances)
+	e.localTokens = min(1+rate*localBurstWindow.Seconds(), e.localTokens+rate*(now-e.localUpdatedAt).Seconds())
+	e.localUpdatedAt = now
+	if e.localTokens < 1 {
+		return Decision{Verdict: Refused, RetryAfter: retryWithoutOwner}
 	}
-	e.own--
+	e.localTokens--
 	return Decision{Verdict: Admitted}
 }
 
-// Return takes back the admission of a request that has not run and will not.
+// Return takes back the admission of a request that was not run and will not be.
 func (l *Ledger) Return(account string) {
 	e := l.entry(account)
 	if e.used > 0 {
@@ -214,20 +221,20 @@
 	e.returned++
 }
 
-// IsUrgent says whether an account's tokens have to be asked for at once.
+// IsUrgent reports whether tokens of the account have to be requested immediately.
 func (l *Ledger) IsUrgent(a *lovageyard.Account, now time.Duration) bool {
 	e := l.entry(a.Name)
-	e.usesTokens = e.isTight(now) || float64(e.ahead()) > l.unreported(a)
-	return e.waiting > 0 || e.usesTokens && now >= e.pausedUntil && e.tokens < e.ahead()/2
+	e.prefetches = e.isMetered(now) || float64(e.prefetchTarget()) > l.unreportedLimit(a)
+	return e.pending > 0 || e.prefetches && now >= e.pausedUntil && e.tokens < e.prefetchTarget()/2
 }
 
-// ahead returns how many tokens to have in advance. None for an instance that may not use them in time: they
-// would be missing elsewhere.
-func (e *entry) ahead() int {
-	return int(e.demand * prefetchFor.Seconds())
+// prefetchTarget returns how many tokens to hold in advance. It is 0 for an instance that may not use them
+// before they expire, as they would be missing elsewhere.
+func (e *entry) prefetchTarget() int {
+	return int(e.demand * prefetchWindow.Seconds())
 }
 
-// Report returns what an owner is to be told of its accounts, which count as told from then on.
+// Report returns the uses to report to an owner and resets their counts.
 func (l *Ledger) Report(owner string, owns func(account string) bool, now time.Duration) []Use {
 	var uses []Use
 	for name, e := range l.entries {
@@ -237,67 +244,68 @@
 		e.expire(now)
 		use := Use{Account: name, Used: e.used, Returned: e.returned, Wanted: e.wanted(now)}
 		if use == (Use{Account: name}) {
-			if now-e.demandAt > idleAfter {
+			if now-e.demandAt > idleTimeout {
 				delete(l.entries, name)
 			}
 			continue
 		}
 		e.used, e.returned = 0, 0
-		if now-e.heardAt <= trustFor {
-			use.Known, use.Level, use.Unmetered, use.Switched = true, e.level, !e.tight, e.owner != owner
+		if now-e.stateAt <= replyLifetime {
+			use.Known, use.Level, use.Unmetered, use.Switched = true, e.level, !e.metered, e.owner != owner
 		}
 		uses = append(uses, use)
 	}
 	return uses
 }
 
-// wanted returns how many tokens to ask for.
+// wanted returns how many tokens to request.
 func (e *entry) wanted(now time.Duration) int {
-	if now < e.pausedUntil || !e.usesTokens {
-		return e.waiting
+	if now < e.pausedUntil || !e.prefetches {
+		return e.pending
 	}
-	return max(e.waiting, e.ahead()-e.tokens)
+	return max(e.pending, e.prefetchTarget()-e.tokens)
 }
 
-// RestoreReport takes back a report of which it is not known whether it was heard. What was used is told again;
-// what was returned is not, as it could count twice.
+// RestoreReport restores the counts of a report that may not have been received. Used requests are reported
+// again; returned tokens are not, as they could be credited twice.
 func (l *Ledger) RestoreReport(uses []Use) {
 	for _, u := range uses {
 		l.entry(u.Account).used += u.Used
 	}
 }
 
-// ApplyReply takes in an owner's answer, to a question of a moment, for all accounts that it owns.
+// ApplyReply applies an owner's reply for all accounts that it owns. askedAt is when the request was sent;
+// replies to older requests are ignored.
 func (l *Ledger) ApplyReply(owner string, owns func(account string) bool, warmingUp bool, states []State, askedAt, now time.Duration) {
-	if before := l.words[owner]; before.askedAt > askedAt {
+	if previous := l.replies[owner]; previous.askedAt > askedAt {
 		return
 	}
-	l.words[owner] = word{askedAt: askedAt, warmingUp: warmingUp}
+	l.replies[owner] = ownerReply{askedAt: askedAt, warmingUp: warmingUp}
 	for name, e := range l.entries {
 		if owns(name) {
-			e.tight, e.heardAt, e.level, e.owner = warmingUp, askedAt, 0, owner
-			e.own, e.ownAt = 0, now
+			e.metered, e.stateAt, e.level, e.owner = warmingUp, askedAt, 0, owner
+			e.localTokens, e.localUpdatedAt = 0, now
 		}
 	}
 	for _, s := range states {
 		e := l.entry(s.Account)
 		e.owner = owner
-		e.settled(s, askedAt, now)
+		e.applyState(s, askedAt, now)
 	}
 }
 
-func (e *entry) settled(s State, askedAt, now time.Duration) {
-	e.tight, e.heardAt, e.level = s.Metered, askedAt, s.Level
+func (e *entry) applyState(s State, askedAt, now time.Duration) {
+	e.metered, e.stateAt, e.level = s.Metered, askedAt, s.Level
 	e.expire(now)
 	if s.Granted > 0 && e.tokens == 0 {
-		// Tokens that come to others expire with these.
-		e.tokensUntil = askedAt + tokensLast
+		// Tokens that are added to existing ones expire together with these.
+		e.tokensUntil = askedAt + tokenLifetime
 	}
 	e.tokens += s.Granted
 	e.expire(now)
 	if s.RetryAfter > 0 {
 		e.retryAfter = s.RetryAfter
-		e.pausedUntil = now + min(longestPause, s.RetryAfter)
+		e.pausedUntil = now + min(maxPause, s.RetryAfter)
 	}
 }
 
@@ -310,7 +318,7 @@
 	return true
 }
 
-// expire gives back tokens that may no longer be used.
+// expire returns tokens whose lifetime has passed.
 func (e *entry) expire(now time.Duration) {
 	if e.tokens > 0 && now >= e.tokensUntil {
 		e.returned += e.tokens
@@ -318,8 +326,8 @@
 	}
 }
 
-// note counts a request.
-func (e *entry) note(now time.Duration) {
-	e.demand = e.demand*math.Exp(-float64(now-e.demandAt)/float64(demandSpan)) + 1/demandSpan.Seconds()
+// recordDemand adds a request to the moving average.
+func (e *entry) recordDemand(now time.Duration) {
+	e.demand = e.demand*math.Exp(-float64(now-e.demandAt)/float64(demandWindow)) + 1/demandWindow.Seconds()
 	e.demandAt = now
 }
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -13,10 +13,10 @@
 // all selects all accounts.
 func all(string) bool { return true }
 
-// Requests of an account that is far from its limit wait for nothing, but for the report of those before them
-// if there are many.
-func TestOneInstanceAdmitsLittleBeforeItReports(t *testing.T) {
-	const instances, enough = 10, 1000
+// Requests of an account far below its limit are admitted immediately, up to a bound on the requests that have
+// not been reported yet.
+func TestUnreportedRequestsAreBounded(t *testing.T) {
+	const instances, maxRequests = 10, 1000
 	c := qt.New(t)
 	a := &lovageyard.Account{Name: "a", Rate: 100, Burst: 100}
 	now := time.Hour
@@ -24,7 +24,7 @@
 	l.SetInstanceCount(instances)
 	l.ApplyReply("owner", all, false, nil, now, now)
 	admitted := 0
-	for l.Admit(a, "owner", now).Verdict == quota.Admitted && admitted < enough {
+	for l.Admit(a, "owner", now).Verdict == quota.Admitted && admitted < maxRequests {
 		admitted++
 	}
 	c.Assert(admitted > 1, qt.IsTrue)
@@ -35,8 +35,8 @@
 	c.Assert(l.Admit(a, "owner", now).Verdict, qt.Equals, quota.Admitted)
 }
 
-// Without word of an owner, requests need tokens.
-func TestOldWordOfAOwnerAdmitsNothing(t *testing.T) {
+// Without a recent reply of an owner, requests need tokens.
+func TestStaleOwnerReplyAdmitsNothing(t *testing.T) {
 	c := qt.New(t)
 	a := &lovageyard.Account{Name: "a", Rate: 100, Burst: 100}
 	now := time.Hour
@@ -47,7 +47,7 @@
 	c.Assert(l.Admit(a, "owner", now+time.Minute).Verdict, qt.Equals, quota.Pending)
 }
 
-// Tokens that are not used in time go back, and are used by nobody here.
+// Expired tokens are returned to the owner and are not used here.
 func TestTokensExpire(t *testing.T) {
 	c := qt.New(t)
 	a := &lovageyard.Account{Name: "a", Rate: 100, Burst: 100}
@@ -62,8 +62,8 @@
 	c.Assert(uses[0].Wanted, qt.Equals, 1)
 }
 
-// A report that may not have been heard is made again, but nothing is given back twice.
-func TestReportThatFailedIsMadeAgain(t *testing.T) {
+// A report that may not have been received is repeated, but returned tokens are not credited twice.
+func TestFailedReportIsRepeated(t *testing.T) {
 	c := qt.New(t)
 	a := &lovageyard.Account{Name: "a", Rate: 100, Burst: 100}
 	now := time.Hour
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -15,37 +15,39 @@
 	"lovageyard.example/lovageyard/peer/wire"
 )
 
-// Periods and limits of the exchange with owners.
+// Intervals and timeouts of the exchange with owners.
 const (
-	// reportEvery is how often uses are reported that nobody waits for.
-	reportEvery = 300 * time.Millisecond
-	// startEvery is the same until an owner has answered for the first time.
-	startEvery = 50 * time.Millisecond
-	// beatEvery is how often an owner hears of an instance that has nothing to report.
-	beatEvery = 500 * time.Millisecond
-	// waitFor is how long a request waits for its account's owner.
-	waitFor = 250 * time.Millisecond
-	// waitForFirst is the same until an owner has answered for the first time: all instances may be starting.
-	waitForFirst = 600 * time.Millisecond
-	// callTimeout bounds a call to an owner, several times as long as the way between regions.
+	// reportInterval is the interval of reports that no request waits for.
+	reportInterval = 300 * time.Millisecond
+	// startupReportInterval is the same until an owner has replied for the first time.
+	startupReportInterval = 50 * time.Millisecond
+	// heartbeatInterval is the interval of reports from an instance that has nothing to report.
+	heartbeatInterval = 500 * time.Millisecond
+	// pendingTimeout is how long a request waits for its account's owner.
+	pendingTimeout = 250 * time.Millisecond
+	// startupPendingTimeout is the same until an owner has replied for the first time, as all instances may be
+	// starting.
+	startupPendingTimeout = 600 * time.Millisecond
+	// callTimeout bounds a call to an owner; it is several times the network delay between regions.
 	callTimeout = 400 * time.Millisecond
-	// avoidFor is how long an owner that did not answer is left alone; it doubles up to avoidMost with each
-	// further time. Then it is tried by an empty report, beside the owner that stands in.
-	avoidFor  = 2 * time.Second
-	avoidMost = 16 * time.Second
+	// minAvoidance is how long an owner that did not reply is avoided. The time doubles with each further
+	// failure, up to maxAvoidance. Then the owner is probed with an empty report while its fallback still
+	// serves.
+	minAvoidance = 2 * time.Second
+	maxAvoidance = 16 * time.Second
 )
 
-// Source gives the view in force.
+// Source provides the current view of instances and configuration.
 type Source interface {
 	View() *catalog.View
 }
 
-// Peers reaches the owners at other instances.
+// Peers sends reports to the owners at other instances.
 type Peers interface {
 	Settle(ctx context.Context, address string, r *wire.SettleRequest) (*wire.SettleReply, error)
 }
 
-// Settings are what a Limiter is made of.
+// Settings are the name of this instance, the bound to enforce, and the dependencies of a Limiter.
 type Settings struct {
 	Self    string
 	Bound   Bound
@@ -56,60 +58,61 @@
 	Metrics *meter.Set
 }
 
-// Limiter admits requests within their accounts' limits, as one of the instances that share them.
+// Limiter enforces the limits at one of the instances that share them. It is safe for concurrent use, but for
+// Account, OwnedSince and InstanceCount, which an Owner calls back while Settle or a report runs.
 type Limiter struct {
-	settings Settings
-	context  context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	// urgent wakes the loop up.
+	settings   Settings
+	context    context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	// urgent triggers an immediate report.
 	urgent chan struct{}
 
 	mu     sync.Mutex
 	ledger *Ledger
 	owner  *Owner
-	// changed is closed and made anew with each answer of an owner.
+	// changed is closed and replaced with each reply of an owner.
 	changed chan struct{}
-	// calling holds the owners that are being asked, and toldAt when each was asked last.
-	calling map[string]bool
-	toldAt  map[string]time.Duration
-	// avoided holds until when owners are not asked.
+	// inCall holds the owners with a call in progress, and reportedAt the time of the last report to each.
+	inCall     map[string]bool
+	reportedAt map[string]time.Duration
+	// avoided holds the owners that are avoided after failures.
 	avoided map[string]avoidance
-	// order is that in which instances keep the accounts of the view in force.
-	order order
+	// order is the ranking of the owners in the current view.
+	order ownerOrder
 }
 
-// NewLimiter returns a limiter that Start sets going.
+// NewLimiter returns a limiter; Start begins its reports.
 func NewLimiter(s Settings) *Limiter {
 	now := s.Timer.Elapsed()
 	l := &Limiter{
-		settings: s,
-		urgent:   make(chan struct{}, 1),
-		ledger:   NewLedger(now),
-		owner:    NewOwner(s.Bound, now),
-		changed:  make(chan struct{}),
-		calling:  make(map[string]bool),
-		toldAt:   make(map[string]time.Duration),
-		avoided:  make(map[string]avoidance),
+		settings:   s,
+		urgent:     make(chan struct{}, 1),
+		ledger:     NewLedger(now),
+		owner:      NewOwner(s.Bound, now),
+		changed:    make(chan struct{}),
+		inCall:     make(map[string]bool),
+		reportedAt: make(map[string]time.Duration),
+		avoided:    make(map[string]avoidance),
 	}
 	l.context, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
-// Start sets the reports to owners going.
+// Start begins the periodic reports to owners.
 func (l *Limiter) Start() {
-	ticks := l.settings.Timer.Subscribe(reportEvery)
-	starting := l.settings.Timer.Subscribe(startEvery)
-	l.running.Go(func() {
-		defer ticks.Close()
-		defer starting.Close()
+	ticker := l.settings.Timer.Subscribe(reportInterval)
+	startupTicker := l.settings.Timer.Subscribe(startupReportInterval)
+	l.goroutines.Go(func() {
+		defer ticker.Close()
+		defer startupTicker.Close()
 		for {
 			select {
-			case <-ticks.C():
+			case <-ticker.C():
 				l.report(false)
-			case <-starting.C():
-				if l.hasHeard() {
-					starting.Close()
+			case <-startupTicker.C():
+				if l.hasOwnerReply() {
+					startupTicker.Close()
 				}
 				l.report(false)
 			case <-l.urgent:
@@ -121,27 +124,27 @@
 	})
 }
 
-// hasHeard says whether an owner has answered.
-func (l *Limiter) hasHeard() bool {
+// hasOwnerReply reports whether any owner has replied since the start.
+func (l *Limiter) hasOwnerReply() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ledger.HasOwnerReply()
 }
 
-// Close ends the reports and waits for them.
+// Close cancels the reports and waits until they have returned.
 func (l *Limiter) Close() {
 	l.cancel()
-	l.running.Wait()
+	l.goroutines.Wait()
 }
 
-// Admit says whether a request of an account is within its limit. It waits for the account's owner only
-// while the account is near its limit.
+// Admit decides whether a request is within its account's limit. It blocks for the account's owner only while
+// the account is near its limit, and never returns Pending.
 func (l *Limiter) Admit(ctx context.Context, a *lovageyard.Account) Decision {
 	if a == nil || a.Rate <= 0 {
 		return Decision{Verdict: Admitted}
 	}
 	l.mu.Lock()
-	l.arrange()
+	l.updateOrder()
 	now := l.settings.Timer.Elapsed()
 	owner := l.ownerOf(a.Name)
 	answer := l.ledger.Admit(a, owner, now)
@@ -155,27 +158,27 @@
 		answer = l.await(ctx, a, changed)
 	}
 	if answer.Verdict == Refused {
-		// Callers that were refused together come back apart.
+		// Callers that were refused together retry at different times.
 		answer.RetryAfter = time.Duration((0.5 + rand.Float64()) * float64(answer.RetryAfter))
 	}
 	return answer
 }
 
-// await waits for an owner's answer to a request that is pending.
+// await waits for the reply that decides on a pending request.
 func (l *Limiter) await(ctx context.Context, a *lovageyard.Account, changed <-chan struct{}) Decision {
-	wait := waitFor
-	if !l.hasHeard() {
-		wait = waitForFirst
+	wait := pendingTimeout
+	if !l.hasOwnerReply() {
+		wait = startupPendingTimeout
 	}
-	over := l.settings.Timer.After(wait)
-	defer over.Close()
+	timeout := l.settings.Timer.After(wait)
+	defer timeout.Close()
 	for {
 		select {
 		case <-changed:
-		case <-over.C():
-			return l.giveUp(a)
+		case <-timeout.C():
+			return l.admitLocally(a)
 		case <-ctx.Done():
-			return l.giveUp(a)
+			return l.admitLocally(a)
 		}
 		l.mu.Lock()
 		now := l.settings.Timer.Elapsed()
@@ -189,13 +192,13 @@
 	}
 }
 
-func (l *Limiter) giveUp(a *lovageyard.Account) Decision {
+func (l *Limiter) admitLocally(a *lovageyard.Account) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ledger.AdmitLocally(a, l.settings.Timer.Elapsed())
 }
 
-// Return takes back the admission of a request that has not run and will not.
+// Return takes back the admission of a request that was not run and will not be.
 func (l *Limiter) Return(a *lovageyard.Account) {
 	if a == nil || a.Rate <= 0 {
 		return
@@ -205,7 +208,7 @@
 	l.ledger.Return(a.Name)
 }
 
-// MeteredCount returns the number of accounts that are near their limits, by the owners' word.
+// MeteredCount returns the number of accounts that are near their limits according to their owners.
 func (l *Limiter) MeteredCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,34 +222,34 @@
 	}
 }
 
-// arrange works out the order of owners anew if the view has changed.
-func (l *Limiter) arrange() {
+// updateOrder recomputes the ranking of owners if the view has changed.
+func (l *Limiter) updateOrder() {
 	view := l.settings.Source.View()
 	if view == l.order.view {
 		return
 	}
-	next := newOrder(view)
+	next := newOwnerOrder(view)
 	next.accounts = l.order.accountsOf(view)
 	next.since = l.order.since
-	if next.place(l.settings.Self) != l.order.place(l.settings.Self) || next.owners() != l.order.owners() {
+	if next.rankOf(l.settings.Self) != l.order.rankOf(l.settings.Self) || next.owners() != l.order.owners() {
 		next.since = l.settings.Timer.Elapsed()
 	}
 	l.order = next
-	l.ledger.SetInstanceCount(next.sharers)
+	l.ledger.SetInstanceCount(next.instances)
 }
 
 // ownerOf returns the owner of an account.
 func (l *Limiter) ownerOf(account string) string {
-	return l.ownerAt(l.order.placeOf(account))
+	return l.ownerAt(l.order.ownerRank(account))
 }
 
-// ownerAt returns the instance that owns the accounts of a place, at last this one itself.
-func (l *Limiter) ownerAt(place int) string {
+// ownerAt returns the instance that owns the accounts of a rank, or this one if all candidates are avoided.
+func (l *Limiter) ownerAt(rank int) string {
 	isAvoided := func(name string) bool {
 		_, avoided := l.avoided[name]
 		return avoided
 	}
-	if name := l.order.at(place, isAvoided); name != "" {
+	if name := l.order.instanceAt(rank, isAvoided); name != "" {
 		return name
 	}
 	return l.settings.Self
@@ -255,132 +258,133 @@
 // owners returns the instances that own accounts.
 func (l *Limiter) owners() []string {
 	var owners []string
-	for place := range max(1, l.order.owners()) {
-		if name := l.ownerAt(place); !slices.Contains(owners, name) {
+	for rank := range max(1, l.order.owners()) {
+		if name := l.ownerAt(rank); !slices.Contains(owners, name) {
 			owners = append(owners, name)
 		}
 	}
 	return owners
 }
 
-// Account returns an account of the configuration in force, or nil.
+// Account returns an account of the current configuration, or nil.
 func (l *Limiter) Account(name string) *lovageyard.Account {
 	return l.order.accounts[name]
 }
 
-// OwnedSince returns since when this instance is the owner of an account, if it is.
+// OwnedSince returns whether this instance owns an account, and since when it has held its rank among the
+// owners.
 func (l *Limiter) OwnedSince(name string) (time.Duration, bool) {
 	if len(l.order.names) == 0 {
 		return 0, false
 	}
-	return l.order.since, l.order.place(l.settings.Self) == l.order.placeOf(name)
+	return l.order.since, l.order.rankOf(l.settings.Self) == l.order.ownerRank(name)
 }
 
 // InstanceCount returns the number of instances that share the limits.
 func (l *Limiter) InstanceCount() int {
-	return l.order.sharers
+	return l.order.instances
 }
 
-// report tells all owners what they are to know, those only that somebody waits for if it is urgent.
+// report sends reports to all owners, or, if urgent, only to those with something to report.
 func (l *Limiter) report(urgent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.arrange()
+	l.updateOrder()
 	if len(l.order.accounts) == 0 {
 		return
 	}
 	now := l.settings.Timer.Elapsed()
-	l.tryAvoided(now)
+	l.probeAvoided(now)
 	for _, owner := range l.owners() {
 		owns := func(account string) bool { return l.ownerOf(account) == owner }
-		if l.calling[owner] {
+		if l.inCall[owner] {
 			continue
 		}
 		uses := l.ledger.Report(owner, owns, now)
-		if len(uses) == 0 && (urgent || now-l.toldAt[owner] < beatEvery) {
+		if len(uses) == 0 && (urgent || now-l.reportedAt[owner] < heartbeatInterval) {
 			continue
 		}
-		l.toldAt[owner] = now
+		l.reportedAt[owner] = now
 		if owner == l.settings.Self {
 			states := l.owner.ApplyReport(l.settings.Self, uses, l, now)
-			l.settled(owner, owns, l.owner.IsWarmingUp(now), states, now)
+			l.applyReply(owner, owns, l.owner.IsWarmingUp(now), states, now)
 			continue
 		}
 		l.call(owner, uses, now)
 	}
 }
 
-// tryAvoided asks the owners that were left alone long enough whether they answer again.
-func (l *Limiter) tryAvoided(now time.Duration) {
+// probeAvoided sends empty reports to owners whose avoidance has passed.
+func (l *Limiter) probeAvoided(now time.Duration) {
 	for name, a := range l.avoided {
 		switch {
 		case l.order.addresses[name] == "":
 			delete(l.avoided, name)
-		case now >= a.until && !l.calling[name]:
+		case now >= a.until && !l.inCall[name]:
 			l.call(name, nil, now)
 		}
 	}
 }
 
-// call reports to the owner at another instance.
+// call reports to an owner at another instance.
 func (l *Limiter) call(owner string, uses []Use, askedAt time.Duration) {
-	l.calling[owner] = true
+	l.inCall[owner] = true
 	address := l.order.addresses[owner]
 	request := toRequest(l.settings.Self, uses)
-	l.running.Go(func() {
+	l.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(l.context, callTimeout)
 		defer cancel()
 		reply, err := l.settings.Peers.Settle(ctx, address, request)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		delete(l.calling, owner)
+		delete(l.inCall, owner)
 		now := l.settings.Timer.Elapsed()
 		if err != nil {
 			l.settings.Metrics.Count(meter.LimitReports, "failed")
-			l.failed(owner, uses, now, err)
+			l.handleFailure(owner, uses, now, err)
 			return
 		}
 		l.settings.Metrics.Count(meter.LimitReports, "ok")
 		owns := func(account string) bool { return l.ownerOf(account) == owner }
-		l.settled(owner, owns, reply.GetWarmingUp(), fromStates(reply.GetStates()), askedAt)
+		l.applyReply(owner, owns, reply.GetWarmingUp(), fromStates(reply.GetStates()), askedAt)
 	})
 }
 
-// avoidance is how long an owner is not asked.
+// avoidance is the backoff of an owner that did not reply.
 type avoidance struct {
-	span  time.Duration
-	until time.Duration
+	duration time.Duration
+	until    time.Duration
 }
 
-// again returns the avoidance of an owner that has not answered once more.
-func (a avoidance) again(now time.Duration) avoidance {
-	span := min(avoidMost, max(avoidFor, 2*a.span))
-	return avoidance{span: span, until: now + span}
+// extend returns the avoidance after a further failure.
+func (a avoidance) extend(now time.Duration) avoidance {
+	duration := min(maxAvoidance, max(minAvoidance, 2*a.duration))
+	return avoidance{duration: duration, until: now + duration}
 }
 
-// settled takes in an owner's answer and wakes the requests that wait for it.
-func (l *Limiter) settled(owner string, owns func(string) bool, warmingUp bool, states []State, askedAt time.Duration) {
+// applyReply applies an owner's reply and wakes the requests that wait for it.
+func (l *Limiter) applyReply(owner string, owns func(string) bool, warmingUp bool, states []State, askedAt time.Duration) {
 	delete(l.avoided, owner)
 	l.ledger.ApplyReply(owner, owns, warmingUp, states, askedAt, l.settings.Timer.Elapsed())
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// failed turns to the next owners.
-func (l *Limiter) failed(owner string, uses []Use, now time.Duration, err error) {
+// handleFailure restores a failed report and switches to the next owner.
+func (l *Limiter) handleFailure(owner string, uses []Use, now time.Duration, err error) {
 	l.ledger.RestoreReport(uses)
-	l.avoided[owner] = l.avoided[owner].again(now)
+	l.avoided[owner] = l.avoided[owner].extend(now)
 	if l.context.Err() == nil {
-		l.settings.Logger.WithError(err).WithField("owner", owner).Info("an owner of limits did not answer")
+		l.settings.Logger.WithError(err).WithField("owner", owner).Info("quota owner did not reply; using the next owner")
 	}
 	l.wake()
 }
 
-// Settle answers the report of another instance, as the owner of some accounts.
+// Settle handles the report of another instance to this one as an owner.
 func (l *Limiter) Settle(_ context.Context, r *wire.SettleRequest) (*wire.SettleReply, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.arrange()
+	l.updateOrder()
 	now := l.settings.Timer.Elapsed()
 	states := l.owner.ApplyReport(r.GetInstance(), fromUses(r.GetUses()), l, now)
 	return &wire.SettleReply{States: toStates(states), WarmingUp: l.owner.IsWarmingUp(now)}, nil
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -20,16 +20,16 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// longest bounds each wait; a wait ends as soon as its condition holds.
-const longest = 60 * time.Second
+// waitTimeout bounds each wait; a wait ends as soon as its condition holds.
+const waitTimeout = 60 * time.Second
 
-// fleet is some limiters that reach each other in memory.
+// fleet is a group of limiters that call each other in memory.
 type fleet struct {
-	c        *qt.C
-	mu       sync.Mutex
-	limiters map[string]*quota.Limiter
-	cut      map[string]bool
-	view     *catalog.View
+	c            *qt.C
+	mu           sync.Mutex
+	limiters     map[string]*quota.Limiter
+	disconnected map[string]bool
+	view         *catalog.View
 }
 
 func (f *fleet) View() *catalog.View {
@@ -40,16 +40,16 @@
 
 func (f *fleet) Settle(ctx context.Context, address string, r *wire.SettleRequest) (*wire.SettleReply, error) {
 	f.mu.Lock()
-	target, cut := f.limiters[address], f.cut[address]
+	target, disconnected := f.limiters[address], f.disconnected[address]
 	f.mu.Unlock()
-	if cut {
-		return nil, errors.New("cut off")
+	if disconnected {
+		return nil, errors.New("disconnected")
 	}
 	return target.Settle(ctx, r)
 }
 
 func newFleet(t *testing.T, count int, accounts ...lovageyard.Account) *fleet {
-	f := &fleet{c: qt.New(t), limiters: make(map[string]*quota.Limiter), cut: make(map[string]bool)}
+	f := &fleet{c: qt.New(t), limiters: make(map[string]*quota.Limiter), disconnected: make(map[string]bool)}
 	snapshot := &catalog.Snapshot{Configuration: &lovageyard.Configuration{Version: 1, Accounts: accounts}}
 	f.view = &catalog.View{Snapshot: snapshot}
 	logger := logrus.New()
@@ -68,33 +68,34 @@
 	return f
 }
 
-// untilAdmitted asks one limiter until it admits a request.
+// untilAdmitted retries at one limiter until it admits a request.
 func (f *fleet) untilAdmitted(name string, a *lovageyard.Account) {
 	f.c.Helper()
-	for end := time.Now().Add(longest); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if f.limiters[name].Admit(context.Background(), a).Verdict == quota.Admitted {
 			return
 		}
 	}
-	f.c.Fatalf("%s admits nothing", name)
+	f.c.Fatalf("%s admitted no request", name)
 }
 
-func TestAccountsWithoutLimitsWaitForNobody(t *testing.T) {
+func TestAccountWithoutLimitIsAdmitted(t *testing.T) {
 	f := newFleet(t, 1)
 	f.c.Assert(f.limiters["entry-0"].Admit(context.Background(), nil).Verdict, qt.Equals, quota.Admitted)
 	f.c.Assert(f.limiters["entry-0"].Admit(context.Background(), &lovageyard.Account{Name: "a"}).Verdict, qt.Equals, quota.Admitted)
 }
 
-// All instances admit requests of an account, whichever of them is its owner, and also once that is cut off.
+// All instances admit requests of an account, whichever of them is its owner, and also after the owner is
+// disconnected.
 func TestEveryInstanceAdmits(t *testing.T) {
 	a := lovageyard.Account{Name: "a", Rate: 1000, Burst: 1000}
 	f := newFleet(t, 3, a)
 	for name := range f.limiters {
 		f.untilAdmitted(name, &a)
 	}
-	for cut := range f.limiters {
+	for disconnected := range f.limiters {
 		f.mu.Lock()
-		f.cut = map[string]bool{cut: true}
+		f.disconnected = map[string]bool{disconnected: true}
 		f.mu.Unlock()
 		for name := range f.limiters {
 			f.untilAdmitted(name, &a)
@@ -102,8 +103,8 @@
 	}
 }
 
-// A limit that requests of many callers at all instances exceed holds, and refused ones are told when to come back.
-func TestLimitHoldsOverInstances(t *testing.T) {
+// A limit holds when callers at all instances exceed it, and refused requests get a retry time.
+func TestLimitHoldsAcrossInstances(t *testing.T) {
 	const perInstance = 400
 	a := lovageyard.Account{Name: "a", Rate: 10, Burst: 10}
 	f := newFleet(t, 3, a)
@@ -132,8 +133,8 @@
 	f.c.Assert(float64(admitted) <= allowed, qt.IsTrue, qt.Commentf("%d admitted, %.0f allowed", admitted, allowed))
 }
 
-// A request that its caller gave up waits no longer.
-func TestRequestOfACallerThatLeftDoesNotWait(t *testing.T) {
+// A request whose context is canceled does not wait.
+func TestCanceledRequestDoesNotWait(t *testing.T) {
 	a := lovageyard.Account{Name: "a", Rate: 1, Burst: 0}
 	f := newFleet(t, 1, a)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/quota/main_test.go
+++ b/quota/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain plays the same random plays each time, unless a seed is given.
+// TestMain uses a fixed seed for property-based tests unless one is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -13,508 +13,509 @@
 	"lovageyard.example/lovageyard/quota"
 )
 
-// Times of the model.
+// Times of the simulation.
 const (
-	step        = 10 * time.Millisecond
-	oneWay      = 35 * time.Millisecond
-	reportEvery = 300 * time.Millisecond
-	beatEvery   = 500 * time.Millisecond
-	waitFor     = 250 * time.Millisecond
-	callTimeout = 400 * time.Millisecond
-	avoidFor    = 2 * time.Second
-	avoidMost   = 16 * time.Second
+	step              = 10 * time.Millisecond
+	networkDelay      = 35 * time.Millisecond
+	reportInterval    = 300 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	pendingTimeout    = 250 * time.Millisecond
+	callTimeout       = 400 * time.Millisecond
+	minAvoidance      = 2 * time.Second
+	maxAvoidance      = 16 * time.Second
 )
 
 var bound = quota.Bound{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
 
-// node is one instance of the model.
+// node is one simulated instance.
 type node struct {
 	name   string
-	place  int
+	rank   int
 	ledger *quota.Ledger
 	owner  *quota.Owner
-	dead   bool
-	// side is the part of the network that the instance is in.
-	side     int
-	calling  bool
-	toldAt   time.Duration
-	urgent   bool
-	waiting  []time.Duration
-	avoided  map[int]time.Duration
-	avoidFor map[int]time.Duration
-	trying   map[int]bool
-	keptFrom time.Duration
-}
-
-// call is a report on its way to an owner, or its answer on the way back.
+	down   bool
+	// partition is the network partition that the instance is in.
+	partition  int
+	inCall     bool
+	reportedAt time.Duration
+	urgent     bool
+	pending    []time.Duration
+	avoided    map[int]time.Duration
+	avoidance  map[int]time.Duration
+	probing    map[int]bool
+	ownedSince time.Duration
+}
+
+// call is a report on its way to an owner, or the reply on its way back.
 type call struct {
 	from, to *node
 	uses     []quota.Use
 	askedAt  time.Duration
 	arrives  time.Duration
 	answered bool
-	// tries says that the call is to find out whether an owner answers again.
-	tries     bool
+	// probe reports whether the call only checks whether an avoided owner replies again.
+	probe     bool
 	states    []quota.State
 	warmingUp bool
 }
 
-// world is a fleet of instances that share one account's limit.
-type world struct {
+// simulation is a group of instances that share one account's limit.
+type simulation struct {
 	account lovageyard.Account
 	nodes   []*node
 	calls   []*call
 	now     time.Duration
 	random  *rand.Rand
-	// rate returns the requests a second at an instance.
+	// rate returns the request rate at an instance, per second.
 	rate func(n *node) float64
-	// admitted and refused count requests in steps.
+	// admitted and refused count the requests of each step.
 	admitted, refused []int
 }
 
-func newWorld(seed uint64, count int, limit float64) *world {
-	w := &world{
+func newSimulation(seed uint64, count int, limit float64) *simulation {
+	s := &simulation{
 		account: lovageyard.Account{Name: "a", Rate: limit, Burst: limit},
 		now:     time.Hour,
 		random:  rand.New(rand.NewPCG(seed, 1)),
 	}
 	for n := range count {
-		w.nodes = append(w.nodes, &node{name: fmt.Sprint("i-", n), place: n})
+		s.nodes = append(s.nodes, &node{name: fmt.Sprint("i-", n), rank: n})
 	}
-	for _, n := range w.nodes {
-		w.start(n)
+	for _, n := range s.nodes {
+		s.start(n)
 	}
-	return w
+	return s
 }
 
-// start gives an instance a new life.
-func (w *world) start(n *node) {
-	n.dead, n.calling, n.waiting = false, false, nil
-	n.ledger, n.owner = quota.NewLedger(w.now), quota.NewOwner(bound, w.now)
-	n.ledger.SetInstanceCount(len(w.nodes))
-	n.avoided, n.avoidFor, n.keptFrom = make(map[int]time.Duration), make(map[int]time.Duration), w.now
-	n.trying = make(map[int]bool)
-	n.toldAt = w.now - beatEvery
+// start starts a new incarnation of an instance.
+func (s *simulation) start(n *node) {
+	n.down, n.inCall, n.pending = false, false, nil
+	n.ledger, n.owner = quota.NewLedger(s.now), quota.NewOwner(bound, s.now)
+	n.ledger.SetInstanceCount(len(s.nodes))
+	n.avoided, n.avoidance, n.ownedSince = make(map[int]time.Duration), make(map[int]time.Duration), s.now
+	n.probing = make(map[int]bool)
+	n.reportedAt = s.now - heartbeatInterval
 }
 
-// limits is what one instance's owner goes by.
+// limits implements quota.Limits for one instance's owner.
 type limits struct {
-	w *world
+	s *simulation
 	n *node
 }
 
-func (l limits) Account(string) *lovageyard.Account { return &l.w.account }
-func (l limits) InstanceCount() int                 { return len(l.w.nodes) }
+func (l limits) Account(string) *lovageyard.Account { return &l.s.account }
+func (l limits) InstanceCount() int                 { return len(l.s.nodes) }
 func (l limits) OwnedSince(string) (time.Duration, bool) {
-	return l.n.keptFrom, l.n.place == 0
+	return l.n.ownedSince, l.n.rank == 0
 }
 
-// ownerOf returns the owner that an instance turns to.
-func (w *world) ownerOf(n *node) *node {
-	for _, k := range w.nodes {
-		if _, avoided := n.avoided[k.place]; !avoided {
+// ownerOf returns the owner that an instance reports to.
+func (s *simulation) ownerOf(n *node) *node {
+	for _, k := range s.nodes {
+		if _, avoided := n.avoided[k.rank]; !avoided {
 			return k
 		}
 	}
 	return n
 }
 
-// tryAvoided asks owners that were left alone long enough whether they answer again.
-func (w *world) tryAvoided(n *node) {
-	for place, until := range n.avoided {
-		if w.now >= until && !n.trying[place] {
-			n.trying[place] = true
-			w.calls = append(w.calls, &call{from: n, to: w.nodes[place], askedAt: w.now, arrives: w.now + oneWay, tries: true})
+// probeAvoided probes owners whose avoidance has passed.
+func (s *simulation) probeAvoided(n *node) {
+	for rank, until := range n.avoided {
+		if s.now >= until && !n.probing[rank] {
+			n.probing[rank] = true
+			s.calls = append(s.calls, &call{from: n, to: s.nodes[rank], askedAt: s.now, arrives: s.now + networkDelay, probe: true})
 		}
 	}
 }
 
-// advance plays a span.
-func (w *world) advance(d time.Duration) {
-	for end := w.now + d; w.now < end; w.now += step {
-		w.admitted, w.refused = append(w.admitted, 0), append(w.refused, 0)
-		w.deliver()
-		for _, n := range w.nodes {
-			if n.dead {
+// advance simulates a duration.
+func (s *simulation) advance(d time.Duration) {
+	for end := s.now + d; s.now < end; s.now += step {
+		s.admitted, s.refused = append(s.admitted, 0), append(s.refused, 0)
+		s.deliver()
+		for _, n := range s.nodes {
+			if n.down {
 				continue
 			}
-			for range w.arrivals(w.rate(n) * step.Seconds()) {
-				w.take(n)
+			for range s.arrivals(s.rate(n) * step.Seconds()) {
+				s.arrive(n)
 			}
-			w.giveUp(n)
-			w.tryAvoided(n)
-			w.report(n)
+			s.timeOutPending(n)
+			s.probeAvoided(n)
+			s.report(n)
 		}
 	}
 }
 
-// arrivals draws a number of arrivals by their mean.
-func (w *world) arrivals(mean float64) int {
+// arrivals draws a number of arrivals with the given mean.
+func (s *simulation) arrivals(mean float64) int {
 	count := int(mean)
-	if w.random.Float64() < mean-float64(count) {
+	if s.random.Float64() < mean-float64(count) {
 		count++
 	}
 	return count
 }
 
-func (w *world) take(n *node) {
-	owner := w.ownerOf(n).name
-	w.count(n, n.ledger.Admit(&w.account, owner, w.now))
-	n.urgent = n.urgent || n.ledger.IsUrgent(&w.account, w.now)
+func (s *simulation) arrive(n *node) {
+	owner := s.ownerOf(n).name
+	s.count(n, n.ledger.Admit(&s.account, owner, s.now))
+	n.urgent = n.urgent || n.ledger.IsUrgent(&s.account, s.now)
 }
 
-func (w *world) count(n *node, a quota.Decision) {
+func (s *simulation) count(n *node, a quota.Decision) {
 	switch a.Verdict {
 	case quota.Admitted:
-		w.admitted[len(w.admitted)-1]++
+		s.admitted[len(s.admitted)-1]++
 	case quota.Refused:
-		w.refused[len(w.refused)-1]++
+		s.refused[len(s.refused)-1]++
 	default:
-		n.waiting = append(n.waiting, w.now)
+		n.pending = append(n.pending, s.now)
 	}
 }
 
-// giveUp ends the wait of requests that have waited long.
-func (w *world) giveUp(n *node) {
-	for len(n.waiting) > 0 && w.now-n.waiting[0] >= waitFor {
-		n.waiting = n.waiting[1:]
-		w.count(n, n.ledger.AdmitLocally(&w.account, w.now))
+// timeOutPending ends the wait of requests whose owner did not reply in time.
+func (s *simulation) timeOutPending(n *node) {
+	for len(n.pending) > 0 && s.now-n.pending[0] >= pendingTimeout {
+		n.pending = n.pending[1:]
+		s.count(n, n.ledger.AdmitLocally(&s.account, s.now))
 	}
 }
 
-func (w *world) report(n *node) {
-	if n.calling || !n.urgent && w.now-n.toldAt < reportEvery {
+func (s *simulation) report(n *node) {
+	if n.inCall || !n.urgent && s.now-n.reportedAt < reportInterval {
 		return
 	}
-	owner := w.ownerOf(n)
-	uses := n.ledger.Report(owner.name, func(string) bool { return true }, w.now)
-	if len(uses) == 0 && w.now-n.toldAt < beatEvery {
+	owner := s.ownerOf(n)
+	uses := n.ledger.Report(owner.name, func(string) bool { return true }, s.now)
+	if len(uses) == 0 && s.now-n.reportedAt < heartbeatInterval {
 		return
 	}
-	n.calling, n.urgent, n.toldAt = true, false, w.now
-	w.calls = append(w.calls, &call{from: n, to: owner, uses: uses, askedAt: w.now, arrives: w.now + oneWay})
+	n.inCall, n.urgent, n.reportedAt = true, false, s.now
+	s.calls = append(s.calls, &call{from: n, to: owner, uses: uses, askedAt: s.now, arrives: s.now + networkDelay})
 }
 
-// deliver plays the ends of ways.
-func (w *world) deliver() {
-	calls := w.calls
-	w.calls = nil
+// deliver handles the calls that arrive in this step.
+func (s *simulation) deliver() {
+	calls := s.calls
+	s.calls = nil
 	for _, c := range calls {
 		switch {
-		case w.now < c.arrives:
-			w.calls = append(w.calls, c)
-		case c.from.dead:
-		case c.to.dead || c.from.side != c.to.side:
-			w.fail(c)
+		case s.now < c.arrives:
+			s.calls = append(s.calls, c)
+		case c.from.down:
+		case c.to.down || c.from.partition != c.to.partition:
+			s.fail(c)
 		case c.answered:
-			w.settled(c)
+			s.applyReply(c)
 		default:
-			c.states = c.to.owner.ApplyReport(c.from.name, c.uses, limits{w, c.to}, w.now)
-			c.warmingUp = c.to.owner.IsWarmingUp(w.now)
-			c.answered, c.arrives = true, w.now+oneWay
-			w.calls = append(w.calls, c)
+			c.states = c.to.owner.ApplyReport(c.from.name, c.uses, limits{s, c.to}, s.now)
+			c.warmingUp = c.to.owner.IsWarmingUp(s.now)
+			c.answered, c.arrives = true, s.now+networkDelay
+			s.calls = append(s.calls, c)
 		}
 	}
 }
 
-func (w *world) fail(c *call) {
-	if w.now-c.askedAt < callTimeout {
-		w.calls = append(w.calls, c)
+func (s *simulation) fail(c *call) {
+	if s.now-c.askedAt < callTimeout {
+		s.calls = append(s.calls, c)
 		return
 	}
-	if c.tries {
-		delete(c.from.trying, c.to.place)
+	if c.probe {
+		delete(c.from.probing, c.to.rank)
 	} else {
-		c.from.calling = false
+		c.from.inCall = false
 	}
 	c.from.ledger.RestoreReport(c.uses)
-	span := min(avoidMost, max(avoidFor, 2*c.from.avoidFor[c.to.place]))
-	c.from.avoidFor[c.to.place], c.from.avoided[c.to.place] = span, w.now+span
+	duration := min(maxAvoidance, max(minAvoidance, 2*c.from.avoidance[c.to.rank]))
+	c.from.avoidance[c.to.rank], c.from.avoided[c.to.rank] = duration, s.now+duration
 	c.from.urgent = true
 }
 
-func (w *world) settled(c *call) {
+func (s *simulation) applyReply(c *call) {
 	n := c.from
-	delete(n.avoidFor, c.to.place)
-	delete(n.avoided, c.to.place)
-	if c.tries {
-		delete(n.trying, c.to.place)
+	delete(n.avoidance, c.to.rank)
+	delete(n.avoided, c.to.rank)
+	if c.probe {
+		delete(n.probing, c.to.rank)
 	} else {
-		n.calling = false
+		n.inCall = false
 	}
-	n.ledger.ApplyReply(c.to.name, func(string) bool { return true }, c.warmingUp, c.states, c.askedAt, w.now)
-	waiting := n.waiting
-	n.waiting = nil
-	for _, since := range waiting {
-		answer := n.ledger.Resume(&w.account, w.now)
+	n.ledger.ApplyReply(c.to.name, func(string) bool { return true }, c.warmingUp, c.states, c.askedAt, s.now)
+	pending := n.pending
+	n.pending = nil
+	for _, since := range pending {
+		answer := n.ledger.Resume(&s.account, s.now)
 		if answer.Verdict == quota.Pending {
-			n.waiting = append(n.waiting, since)
+			n.pending = append(n.pending, since)
 			n.urgent = true
 			continue
 		}
-		w.count(n, answer)
+		s.count(n, answer)
 	}
 }
 
-// mostInWindow returns the largest number of requests that were admitted in a window.
-func (w *world) mostInWindow() int {
+// maxInWindow returns the largest number of requests admitted in any window.
+func (s *simulation) maxInWindow() int {
 	size := int(bound.Window / step)
-	most, sum := 0, 0
-	for i, count := range w.admitted {
+	highest, sum := 0, 0
+	for i, count := range s.admitted {
 		sum += count
 		if i >= size {
-			sum -= w.admitted[i-size]
+			sum -= s.admitted[i-size]
 		}
-		most = max(most, sum)
+		highest = max(highest, sum)
 	}
-	return most
+	return highest
 }
 
-// allowed returns what the bound allows in a window.
-func (w *world) allowed() float64 {
-	return (w.account.Rate*bound.Window.Seconds()+w.account.Burst)*(1+bound.Excess) + bound.Slack
+// allowed returns the number of requests that the bound allows in a window.
+func (s *simulation) allowed() float64 {
+	return (s.account.Rate*bound.Window.Seconds()+s.account.Burst)*(1+bound.Excess) + bound.Slack
 }
 
-// share returns the part of the requests since a step that was refused.
-func (w *world) refusedSince(from int) float64 {
+// refusalRate returns the fraction of the requests since a step that was refused.
+func (s *simulation) refusalRate(from int) float64 {
 	admitted, refused := 0, 0
-	for i := from; i < len(w.admitted); i++ {
-		admitted += w.admitted[i]
-		refused += w.refused[i]
+	for i := from; i < len(s.admitted); i++ {
+		admitted += s.admitted[i]
+		refused += s.refused[i]
 	}
 	return float64(refused) / float64(max(1, admitted+refused))
 }
 
-// evenly spreads requests over all instances.
-func (w *world) evenly(total float64) func(*node) float64 {
-	return func(*node) float64 { return total / float64(len(w.nodes)) }
+// evenLoad spreads a total rate evenly over all instances.
+func (s *simulation) evenLoad(total float64) func(*node) float64 {
+	return func(*node) float64 { return total / float64(len(s.nodes)) }
 }
 
-// settle plays the start, without requests, and the time after it in which less is handed out.
-func (w *world) settle() {
-	w.rate = w.evenly(0)
-	w.advance(7 * time.Second)
+// warmUp simulates the start without requests, and the time after it during which owners hand out less.
+func (s *simulation) warmUp() {
+	s.rate = s.evenLoad(0)
+	s.advance(7 * time.Second)
 }
 
-// limitsPlayed are limits of small and large accounts, in requests a second.
-var limitsPlayed = []float64{3, 11, 40, 330}
+// simulatedLimits are limits of small and large accounts, in requests a second.
+var simulatedLimits = []float64{3, 11, 40, 330}
 
-func play(t *testing.T, run func(c *qt.C, w *world)) {
-	for _, limit := range limitsPlayed {
+func simulate(t *testing.T, run func(c *qt.C, s *simulation)) {
+	for _, limit := range simulatedLimits {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%v_%d", limit, seed), func(t *testing.T) {
 				c := qt.New(t)
-				w := newWorld(seed, 60, limit)
-				w.settle()
-				run(c, w)
-				c.Check(float64(w.mostInWindow()) <= w.allowed(), qt.IsTrue, qt.Commentf("%d in a window, %.0f allowed", w.mostInWindow(), w.allowed()))
+				s := newSimulation(seed, 60, limit)
+				s.warmUp()
+				run(c, s)
+				c.Check(float64(s.maxInWindow()) <= s.allowed(), qt.IsTrue, qt.Commentf("%d in a window, %.0f allowed", s.maxInWindow(), s.allowed()))
 			})
 		}
 	}
 }
 
-// What is within the limit is admitted.
-func TestAccountsBelowTheirLimitAreAdmitted(t *testing.T) {
-	for _, part := range []float64{0.3, 0.6, 0.9} {
-		t.Run(fmt.Sprint(part), func(t *testing.T) {
-			play(t, func(c *qt.C, w *world) {
-				w.rate = w.evenly(part * w.account.Rate)
-				w.advance(20 * time.Second)
-				c.Check(w.refusedSince(0), qt.Equals, 0.0)
+// No request is refused while the load stays below the limit.
+func TestAccountBelowLimitIsAdmitted(t *testing.T) {
+	for _, fraction := range []float64{0.3, 0.6, 0.9} {
+		t.Run(fmt.Sprint(fraction), func(t *testing.T) {
+			simulate(t, func(c *qt.C, s *simulation) {
+				s.rate = s.evenLoad(fraction * s.account.Rate)
+				s.advance(20 * time.Second)
+				c.Check(s.refusalRate(0), qt.Equals, 0.0)
 			})
 		})
 	}
 }
 
-// An account that sends several times its usual is held to its limit, and gets it.
-func TestHotAccountIsHeldToItsLimit(t *testing.T) {
-	for _, usual := range []float64{0.3, 0.7} {
-		for _, times := range []float64{3, 7.5} {
-			t.Run(fmt.Sprint(usual, "_", times), func(t *testing.T) {
-				play(t, func(c *qt.C, w *world) {
-					w.rate = w.evenly(usual * w.account.Rate)
-					w.advance(10 * time.Second)
-					w.rate = w.evenly(times * usual * w.account.Rate)
-					w.advance(2 * time.Second)
-					from := len(w.admitted)
-					w.advance(8 * time.Second)
+// An account that sends several times its usual rate is limited, and still gets its limit.
+func TestHotAccountIsLimited(t *testing.T) {
+	for _, baseline := range []float64{0.3, 0.7} {
+		for _, factor := range []float64{3, 7.5} {
+			t.Run(fmt.Sprint(baseline, "_", factor), func(t *testing.T) {
+				simulate(t, func(c *qt.C, s *simulation) {
+					s.rate = s.evenLoad(baseline * s.account.Rate)
+					s.advance(10 * time.Second)
+					s.rate = s.evenLoad(factor * baseline * s.account.Rate)
+					s.advance(2 * time.Second)
+					from := len(s.admitted)
+					s.advance(8 * time.Second)
 					admitted := 0
-					for _, count := range w.admitted[from:] {
+					for _, count := range s.admitted[from:] {
 						admitted += count
 					}
-					// A request less, as those of small accounts are few.
-					c.Check(float64(admitted) >= 0.85*8*min(times*usual, 1)*w.account.Rate-1, qt.IsTrue, qt.Commentf("%d admitted in 8 s", admitted))
+					// One request of tolerance, as small accounts have few requests.
+					c.Check(float64(admitted) >= 0.85*8*min(factor*baseline, 1)*s.account.Rate-1, qt.IsTrue, qt.Commentf("%d admitted in 8 s", admitted))
 				})
 			})
 		}
 	}
 }
 
-// A limit that is lowered far below what its account sends holds one window later, and admits what it allows at
-// once.
-func TestLoweredLimitHoldsAfterAWindow(t *testing.T) {
+// A limit that is lowered far below the account's load holds one window later, and what it allows is admitted
+// immediately.
+func TestLoweredLimitHoldsAfterOneWindow(t *testing.T) {
 	for seed := range uint64(4) {
 		c := qt.New(t)
-		w := newWorld(seed, 60, 330)
-		w.settle()
-		w.rate = w.evenly(100)
-		w.advance(8 * time.Second)
-		w.account.Rate, w.account.Burst = 40, 40
-		from := len(w.admitted)
-		w.advance(bound.Window)
+		s := newSimulation(seed, 60, 330)
+		s.warmUp()
+		s.rate = s.evenLoad(100)
+		s.advance(8 * time.Second)
+		s.account.Rate, s.account.Burst = 40, 40
+		from := len(s.admitted)
+		s.advance(bound.Window)
 		admitted := 0
-		for _, count := range w.admitted[from:] {
+		for _, count := range s.admitted[from:] {
 			admitted += count
 		}
-		c.Check(float64(admitted) >= 0.8*w.account.Rate*bound.Window.Seconds(), qt.IsTrue, qt.Commentf("%d admitted", admitted))
-		w.admitted = w.admitted[from+int(bound.Window/step):]
-		w.advance(15 * time.Second)
-		c.Check(float64(w.mostInWindow()) <= w.allowed(), qt.IsTrue, qt.Commentf("%d in a window, %.0f allowed", w.mostInWindow(), w.allowed()))
+		c.Check(float64(admitted) >= 0.8*s.account.Rate*bound.Window.Seconds(), qt.IsTrue, qt.Commentf("%d admitted", admitted))
+		s.admitted = s.admitted[from+int(bound.Window/step):]
+		s.advance(15 * time.Second)
+		c.Check(float64(s.maxInWindow()) <= s.allowed(), qt.IsTrue, qt.Commentf("%d in a window, %.0f allowed", s.maxInWindow(), s.allowed()))
 	}
 }
 
-// The load of an account may sit at one instance and move to another.
-func TestLoadThatMovesIsAdmitted(t *testing.T) {
-	play(t, func(c *qt.C, w *world) {
-		for place := range 5 {
-			w.rate = func(n *node) float64 {
-				if n.place == 10*place+5 {
-					return 0.6 * w.account.Rate
+// The load of an account may concentrate on one instance and move to another.
+func TestLoadMovingBetweenInstancesIsAdmitted(t *testing.T) {
+	simulate(t, func(c *qt.C, s *simulation) {
+		for rank := range 5 {
+			s.rate = func(n *node) float64 {
+				if n.rank == 10*rank+5 {
+					return 0.6 * s.account.Rate
 				}
 				return 0
 			}
-			w.advance(4 * time.Second)
+			s.advance(4 * time.Second)
 		}
-		c.Check(w.refusedSince(0), qt.Equals, 0.0)
+		c.Check(s.refusalRate(0), qt.Equals, 0.0)
 	})
 }
 
-// Instances that are cut apart do not exceed the limit together.
-func TestCutFleetKeepsTheLimit(t *testing.T) {
-	play(t, func(_ *qt.C, w *world) {
-		w.rate = w.evenly(3 * w.account.Rate)
-		w.advance(8 * time.Second)
-		for _, n := range w.nodes {
-			n.side = n.place % 3
+// Instances in different network partitions do not exceed the limit together.
+func TestPartitionedInstancesKeepLimit(t *testing.T) {
+	simulate(t, func(_ *qt.C, s *simulation) {
+		s.rate = s.evenLoad(3 * s.account.Rate)
+		s.advance(8 * time.Second)
+		for _, n := range s.nodes {
+			n.partition = n.rank % 3
 		}
-		w.advance(10 * time.Second)
-		for _, n := range w.nodes {
-			n.side = 0
+		s.advance(10 * time.Second)
+		for _, n := range s.nodes {
+			n.partition = 0
 		}
-		w.advance(8 * time.Second)
+		s.advance(8 * time.Second)
 	})
 }
 
-// An owner that was cut off has its tokens of before, while another one has handed out the limit.
-func TestOwnerThatWasCutOffGivesNoBurst(t *testing.T) {
-	play(t, func(_ *qt.C, w *world) {
-		w.rate = w.evenly(0.3 * w.account.Rate)
-		w.advance(3 * time.Second)
-		w.nodes[0].side = 1
-		w.advance(3 * time.Second)
-		w.rate = w.evenly(3 * w.account.Rate)
-		w.advance(8 * time.Second)
-		w.nodes[0].side = 0
-		w.advance(6 * time.Second)
+// An owner that was partitioned still has its old tokens, while another owner has handed out the limit.
+func TestPartitionedOwnerGrantsNoBurst(t *testing.T) {
+	simulate(t, func(_ *qt.C, s *simulation) {
+		s.rate = s.evenLoad(0.3 * s.account.Rate)
+		s.advance(3 * time.Second)
+		s.nodes[0].partition = 1
+		s.advance(3 * time.Second)
+		s.rate = s.evenLoad(3 * s.account.Rate)
+		s.advance(8 * time.Second)
+		s.nodes[0].partition = 0
+		s.advance(6 * time.Second)
 	})
 }
 
-// An owner that ends, and one that takes its place, give no new burst.
-func TestOwnerThatEndsGivesNoBurst(t *testing.T) {
-	play(t, func(_ *qt.C, w *world) {
-		w.rate = w.evenly(3 * w.account.Rate)
-		w.advance(8 * time.Second)
+// An owner that crashes and one that replaces it do not grant a new burst.
+func TestRestartedOwnerGrantsNoBurst(t *testing.T) {
+	simulate(t, func(_ *qt.C, s *simulation) {
+		s.rate = s.evenLoad(3 * s.account.Rate)
+		s.advance(8 * time.Second)
 		for range 3 {
-			w.nodes[0].dead = true
-			w.advance(1500 * time.Millisecond)
-			w.start(w.nodes[0])
-			w.advance(1500 * time.Millisecond)
+			s.nodes[0].down = true
+			s.advance(1500 * time.Millisecond)
+			s.start(s.nodes[0])
+			s.advance(1500 * time.Millisecond)
 		}
 	})
 }
 
-// All instances may end at once, and again.
-func TestCommonStopGivesNoBurst(t *testing.T) {
-	play(t, func(_ *qt.C, w *world) {
-		w.rate = w.evenly(3 * w.account.Rate)
-		w.advance(8 * time.Second)
+// All instances may restart at the same time, repeatedly.
+func TestRestartOfAllInstancesGrantsNoBurst(t *testing.T) {
+	simulate(t, func(_ *qt.C, s *simulation) {
+		s.rate = s.evenLoad(3 * s.account.Rate)
+		s.advance(8 * time.Second)
 		for range 3 {
-			for _, n := range w.nodes {
-				w.start(n)
+			for _, n := range s.nodes {
+				s.start(n)
 			}
-			w.calls = nil
-			w.advance(1500 * time.Millisecond)
+			s.calls = nil
+			s.advance(1500 * time.Millisecond)
 		}
 	})
 }
 
-// Soon after an owner has ended, and after it is back, requests below the limit are admitted as before.
-func TestOwnerThatEndsIsReplacedSoon(t *testing.T) {
-	play(t, func(c *qt.C, w *world) {
-		w.rate = w.evenly(0.5 * w.account.Rate)
-		w.advance(8 * time.Second)
-		w.nodes[0].dead = true
+// Soon after an owner has crashed, and after it has restarted, requests below the limit are admitted again.
+func TestCrashedOwnerIsReplaced(t *testing.T) {
+	simulate(t, func(c *qt.C, s *simulation) {
+		s.rate = s.evenLoad(0.5 * s.account.Rate)
+		s.advance(8 * time.Second)
+		s.nodes[0].down = true
 		for range 2 {
-			w.advance(3 * time.Second)
-			from := len(w.admitted)
-			w.advance(4 * time.Second)
-			c.Check(w.refusedSince(from), qt.Equals, 0.0)
-			if w.nodes[0].dead {
-				w.start(w.nodes[0])
+			s.advance(3 * time.Second)
+			from := len(s.admitted)
+			s.advance(4 * time.Second)
+			c.Check(s.refusalRate(from), qt.Equals, 0.0)
+			if s.nodes[0].down {
+				s.start(s.nodes[0])
 			}
 		}
 	})
 }
 
-// Whatever ends, is cut off and comes back, and however demand changes, the bound holds.
+// The bound holds under random crashes, partitions, restarts and changes of demand.
 func TestLimitHoldsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := rapid.SampledFrom(limitsPlayed).Draw(t, "limit")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(6, 30).Draw(t, "instances"), limit)
-		w.settle()
+		limit := rapid.SampledFrom(simulatedLimits).Draw(t, "limit")
+		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(6, 30).Draw(t, "instances"), limit)
+		s.warmUp()
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			n := w.nodes[rapid.IntRange(0, min(3, len(w.nodes)-1)).Draw(t, "instance")]
+			n := s.nodes[rapid.IntRange(0, min(3, len(s.nodes)-1)).Draw(t, "instance")]
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				n.dead = true
+				n.down = true
 			case 1:
-				w.start(n)
+				s.start(n)
 			case 2:
-				n.side = rapid.IntRange(0, 1).Draw(t, "side")
+				n.partition = rapid.IntRange(0, 1).Draw(t, "side")
 			case 3:
-				for _, n := range w.nodes {
-					n.side = 0
+				for _, n := range s.nodes {
+					n.partition = 0
 				}
 			default:
-				w.rate = w.evenly(rapid.Float64Range(0, 4).Draw(t, "load") * limit)
+				s.rate = s.evenLoad(rapid.Float64Range(0, 4).Draw(t, "load") * limit)
 			}
-			w.advance(time.Duration(rapid.IntRange(1, 20).Draw(t, "tenths")) * 100 * time.Millisecond)
+			s.advance(time.Duration(rapid.IntRange(1, 20).Draw(t, "tenths")) * 100 * time.Millisecond)
 		}
-		if most := float64(w.mostInWindow()); most > w.allowed() {
-			t.Fatalf("%v in a window, %.0f allowed", most, w.allowed())
+		if highest := float64(s.maxInWindow()); highest > s.allowed() {
+			t.Fatalf("%v in a window, %.0f allowed", highest, s.allowed())
 		}
 	})
 }
 
-// Each of two instances has half of the limit: what one of them admits before the other knows is much of it.
-func TestLimitOfTwoInstancesHoldsThroughRestarts(t *testing.T) {
+// With two instances, each has half of the limit, so that what one admits before the owner learns of it is a
+// large part of the limit. Restarts of the owner and of the other instance must not exceed the bound.
+func TestLimitOfTwoInstancesHoldsAcrossRestarts(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(0, 2, 330)
-	w.settle()
-	owner := w.nodes[0]
-	w.rate = w.evenly(2 * w.account.Rate)
-	w.advance(2200 * time.Millisecond)
-	w.rate = w.evenly(0)
-	w.advance(1300 * time.Millisecond)
-	w.rate = w.evenly(2.625 * w.account.Rate)
-	w.advance(100 * time.Millisecond)
-	w.rate = w.evenly(2 * w.account.Rate)
-	w.advance(1400 * time.Millisecond)
+	s := newSimulation(0, 2, 330)
+	s.warmUp()
+	owner := s.nodes[0]
+	s.rate = s.evenLoad(2 * s.account.Rate)
+	s.advance(2200 * time.Millisecond)
+	s.rate = s.evenLoad(0)
+	s.advance(1300 * time.Millisecond)
+	s.rate = s.evenLoad(2.625 * s.account.Rate)
+	s.advance(100 * time.Millisecond)
+	s.rate = s.evenLoad(2 * s.account.Rate)
+	s.advance(1400 * time.Millisecond)
 	for _, pause := range []time.Duration{100, 300, 1200} {
-		w.start(owner)
-		w.advance(pause * time.Millisecond)
+		s.start(owner)
+		s.advance(pause * time.Millisecond)
 	}
-	w.start(w.nodes[1])
-	w.advance(1900 * time.Millisecond)
-	c.Assert(float64(w.mostInWindow()) <= w.allowed(), qt.IsTrue, qt.Commentf("%d in a window, %.0f allowed", w.mostInWindow(), w.allowed()))
+	s.start(s.nodes[1])
+	s.advance(1900 * time.Millisecond)
+	c.Assert(float64(s.maxInWindow()) <= s.allowed(), qt.IsTrue, qt.Commentf("%d in a window, %.0f allowed", s.maxInWindow(), s.allowed()))
 }
--- a/quota/order.go
+++ b/quota/order.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// instancesPerOwner bounds the reports of a second at one owner.
+	// instancesPerOwner bounds the number of instances that report to one owner.
 	instancesPerOwner = 100
-	// ownersKey is what owners are chosen by.
-	ownersKey = "quota-keepers"
+	// rendezvousKey is the key that owners are ranked by. Changing it moves all accounts to other owners.
+	rendezvousKey = "quota-keepers"
 )
 
-// order is that in which instances keep accounts, by one view. The first ones, an owner for each
-// instancesPerOwner instances, share the accounts; the others stand in.
-type order struct {
+// ownerOrder ranks the instances as owners of accounts, for one view. The first ones, one for each
+// instancesPerOwner instances, share the accounts; the others are fallbacks.
+type ownerOrder struct {
 	view  *catalog.View
 	names []string
-	// addresses has those of all in the order.
+	// addresses holds the peer address of each candidate.
 	addresses map[string]string
-	// sharers is the number of instances that share the limits.
-	sharers int
-	// since is when this instance came to the place that it has among the owners.
+	// instances is the number of instances that share the limits.
+	instances int
+	// since is when this instance got its current rank among the owners.
 	since    time.Duration
 	accounts map[string]*lovageyard.Account
 }
 
-// newOrder returns the order by a view.
-func newOrder(view *catalog.View) order {
+// newOwnerOrder returns the ranking for a view.
+func newOwnerOrder(view *catalog.View) ownerOrder {
 	registered := registeredIn(view)
-	o := order{view: view, names: candidates(registered), addresses: make(map[string]string), sharers: len(registered)}
+	o := ownerOrder{view: view, names: candidates(registered), addresses: make(map[string]string), instances: len(registered)}
 	for _, name := range o.names {
 		o.addresses[name] = registered[name].PeerAddress
 	}
 	return o
 }
 
-// registeredIn returns all instances that may be at work. Those that have not been heard of count as well: an
-// instance that has just started knows no other yet, and is to name the same owners as all do.
+// registeredIn returns all instances that may be running. It includes those that have not been observed yet:
+// an instance that has just started has not observed any other, but has to choose the same owners as all do.
 func registeredIn(view *catalog.View) map[string]lovageyard.EntryInstance {
 	registered := maps.Clone(view.Instances)
 	if registered == nil {
@@ -56,8 +56,8 @@
 	return registered
 }
 
-// candidates returns the instances that may be owners, the first in the order that all agree on: those with the
-// widest links.
+// candidates returns the instances that may be owners, in the order that all instances agree on. Only those
+// with the largest link capacity qualify.
 func candidates(registered map[string]lovageyard.EntryInstance) []string {
 	widest := 0.0
 	for _, m := range registered {
@@ -69,31 +69,31 @@
 			names = append(names, name)
 		}
 	}
-	return instance.Rendezvous(names, ownersKey, len(names))
+	return instance.Rendezvous(names, rendezvousKey, len(names))
 }
 
-// owners returns the number of places that accounts are shared by.
-func (o *order) owners() int {
-	return min(len(o.names), 1+o.sharers/instancesPerOwner)
+// owners returns the number of ranks among which the accounts are distributed.
+func (o *ownerOrder) owners() int {
+	return min(len(o.names), 1+o.instances/instancesPerOwner)
 }
 
-// place returns an instance's place among the owners, or -1.
-func (o *order) place(name string) int {
+// rankOf returns an instance's rank among the owners, or -1.
+func (o *ownerOrder) rankOf(name string) int {
 	return slices.Index(o.names[:o.owners()], name)
 }
 
-// placeOf returns the place of the owner of an account, if there are owners.
-func (o *order) placeOf(account string) int {
+// ownerRank returns the rank of the owner of an account; it is valid only if there are owners.
+func (o *ownerOrder) ownerRank(account string) int {
 	return int(xxhash.Sum64String(account) % uint64(max(1, o.owners())))
 }
 
-// at returns the instance that owns the accounts of a place, or "" if all are avoided: the one that has the place,
-// then the other owners, then those behind them.
-func (o *order) at(place int, isAvoided func(name string) bool) string {
+// instanceAt returns the instance that owns the accounts of a rank, or "" if all candidates are avoided. It
+// tries the instance of that rank first, then the other owners, then the fallbacks.
+func (o *ownerOrder) instanceAt(rank int, isAvoided func(name string) bool) string {
 	count := o.owners()
 	for n, name := range o.names {
 		if n < count {
-			name = o.names[(place+n)%count]
+			name = o.names[(rank+n)%count]
 		}
 		if !isAvoided(name) {
 			return name
@@ -102,9 +102,9 @@
 	return ""
 }
 
-// accountsOf returns the accounts of a view by their names; those of the order before are kept if the
-// configuration is the same.
-func (o *order) accountsOf(view *catalog.View) map[string]*lovageyard.Account {
+// accountsOf returns the accounts of a view by name. It reuses the previous map if the configuration is the
+// same.
+func (o *ownerOrder) accountsOf(view *catalog.View) map[string]*lovageyard.Account {
 	if o.view != nil && o.view.Configuration == view.Configuration {
 		return o.accounts
 	}
--- a/quota/usage.go
+++ b/quota/usage.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// usageSlots divides the span in which tokens are counted.
+// usageSlots is the number of slots of a sliding window.
 const usageSlots = 50
 
-// usage counts tokens in a sliding span, by slots of time.
+// usage counts tokens in a sliding window, by time slots.
 type usage struct {
 	slots [usageSlots + 1]float64
 	last  int64
 }
 
-// advance empties the slots that the span has left behind, and returns the present one.
-func (u *usage) advance(span, now time.Duration) *float64 {
-	current := int64(now / (span / usageSlots))
+// advance clears the slots that have left the window, and returns the current one.
+func (u *usage) advance(window, now time.Duration) *float64 {
+	current := int64(now / (window / usageSlots))
 	if current-u.last > int64(len(u.slots)) {
 		u.last = current - int64(len(u.slots))
 	}
@@ -24,14 +24,14 @@
 	return &u.slots[current%int64(len(u.slots))]
 }
 
-// add counts tokens.
-func (u *usage) add(tokens float64, span, now time.Duration) {
-	*u.advance(span, now) += tokens
+// add counts tokens in the current slot.
+func (u *usage) add(tokens float64, window, now time.Duration) {
+	*u.advance(window, now) += tokens
 }
 
-// sum returns the tokens of the span.
-func (u *usage) sum(span, now time.Duration) float64 {
-	u.advance(span, now)
+// sum returns the number of tokens in the window.
+func (u *usage) sum(window, now time.Duration) float64 {
+	u.advance(window, now)
 	total := 0.0
 	for _, tokens := range u.slots {
 		total += tokens
