--- a/account/doc.go
+++ b/account/doc.go
@@ -1,2 +1,3 @@
-// Package account finds the client account that a key belongs to.
+// Package account maps the key of a request to the client account that it belongs to. It holds digests of the
+// keys only, so that neither memory nor log lines contain a key.
 package account
--- a/account/registry.go
+++ b/account/registry.go
@@ -2,17 +2,18 @@
 
 import "lovageyard.example/lovageyard"
 
-// maxKey bounds the length in bytes of keys that are looked up; a longer one belongs to nobody.
+// maxKey is the maximum length in bytes of a key that is looked up; longer keys are treated as unknown without
+// hashing them.
 const maxKey = 512
 
-// Registry finds accounts by their keys, which it holds as digests only. It is immutable.
+// Registry maps keys to accounts, by the digests of the keys. It is immutable and safe for concurrent use.
 type Registry struct {
 	accounts []lovageyard.Account
-	// byKey holds the position of the account that a key belongs to.
+	// byKey holds the index in accounts for each key digest.
 	byKey map[lovageyard.KeyDigest]int32
 }
 
-// NewRegistry returns a registry of accounts.
+// NewRegistry returns a registry of accounts. It keeps the slice, which must not be modified afterwards.
 func NewRegistry(accounts []lovageyard.Account) *Registry {
 	count := 0
 	for _, a := range accounts {
@@ -27,19 +28,19 @@
 	return r
 }
 
-// IsEmpty says whether there are no accounts, so that callers need no keys.
+// IsEmpty reports whether there are no accounts, in which case requests need no key. A nil Registry is empty.
 func (r *Registry) IsEmpty() bool {
 	return r == nil || len(r.accounts) == 0
 }
 
-// Find returns the account that holds a key, or nil.
+// Find returns the account that a key belongs to, or nil if the key is unknown. It does not allocate memory.
 func (r *Registry) Find(key string) *lovageyard.Account {
 	if r == nil || key == "" || len(key) > maxKey {
 		return nil
 	}
-	position, found := r.byKey[lovageyard.DigestKey(key)]
+	index, found := r.byKey[lovageyard.DigestKey(key)]
 	if !found {
 		return nil
 	}
-	return &r.accounts[position]
+	return &r.accounts[index]
 }
--- a/account/registry_test.go
+++ b/account/registry_test.go
@@ -11,7 +11,7 @@
 	"lovageyard.example/lovageyard/account"
 )
 
-// accounts returns accounts with some keys each.
+// accounts returns count accounts with the given number of keys each.
 func accounts(count, keys int) []lovageyard.Account {
 	list := make([]lovageyard.Account, count)
 	for i := range list {
@@ -23,7 +23,7 @@
 	return list
 }
 
-func TestKeyNamesItsAccount(t *testing.T) {
+func TestFindReturnsAccountOfKey(t *testing.T) {
 	c := qt.New(t)
 	r := account.NewRegistry(accounts(3, 2))
 	c.Assert(r.IsEmpty(), qt.IsFalse)
@@ -45,7 +45,7 @@
 	c.Assert(account.NewRegistry(nil).IsEmpty(), qt.IsTrue)
 }
 
-func TestKeyIsFoundWithoutAllocation(t *testing.T) {
+func TestFindDoesNotAllocate(t *testing.T) {
 	c := qt.New(t)
 	r := account.NewRegistry(accounts(72, 2))
 	c.Assert(testing.AllocsPerRun(100, func() { r.Find("key-71-1") }), qt.Equals, 0.0)
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -15,20 +15,20 @@
 	"lovageyard.example/lovageyard/meter"
 )
 
-// finish answers with what the last attempt gave, or with the failure that an earlier
-// server answered if that is all there is.
+// finish sends the final response: the server's answer to the last attempt if it may be forwarded, otherwise
+// the 5xx answer of an earlier attempt, otherwise an error response of this instance.
 func (x *exchange) finish(ctx context.Context, a *attempt) {
 	switch {
 	case x.request.Context().Err() != nil:
 		x.log(logrus.InfoLevel, "client gone", statusClientGone, a.reason(), a)
 	case a.answer != nil && a.answer.Meta.NotRun && !x.ran:
-		x.passRefusal(a)
-	case a.mayBePassed():
-		x.pass(a)
-	case x.failed != nil:
-		x.pass(x.failed)
+		x.forwardRefusal(a)
+	case a.isForwardable():
+		x.forwardAnswer(a)
+	case x.failedAttempt != nil:
+		x.forwardAnswer(x.failedAttempt)
 	case !x.ran:
-		x.refuse(causeNotReached, a.reason(), max(retrySoon, x.returnAfter), a)
+		x.refuse(causeNotReached, a.reason(), max(immediateRetry, x.retryAfter), a)
 	case ctx.Err() != nil:
 		x.log(logrus.InfoLevel, "failed", http.StatusGatewayTimeout, a.reason(), a)
 		x.fail(http.StatusGatewayTimeout, a.reason(), 0)
@@ -38,23 +38,23 @@
 	}
 }
 
-// passRefusal tells the client that no server ran the request.
-func (x *exchange) passRefusal(a *attempt) {
+// forwardRefusal responds that no server ran the request.
+func (x *exchange) forwardRefusal(a *attempt) {
 	if a.answer.Status == http.StatusBadRequest {
 		x.reject(http.StatusBadRequest, "the server finds the request malformed")
 		return
 	}
-	x.refuse(causeServer, a.reason(), max(retrySoon, a.choice.Expected/2, x.returnAfter), a)
+	x.refuse(causeServer, a.reason(), max(immediateRetry, a.choice.Expected/2, x.retryAfter), a)
 }
 
-// pass gives the client the server's whole answer.
-func (x *exchange) pass(a *attempt) {
+// forwardAnswer sends the server's complete answer to the client.
+func (x *exchange) forwardAnswer(a *attempt) {
 	h := x.writer.Header()
 	for name, values := range link.EndToEndHeaders(a.answer.Header) {
 		h[name] = values
 	}
 	if _, found := h["Content-Type"]; !found {
-		// An absent header would make net/http guess one.
+		// Without this, net/http would add a Content-Type of its own.
 		h["Content-Type"] = nil
 	}
 	if x.request.Method != http.MethodHead {
@@ -64,7 +64,7 @@
 	_, err := x.writer.Write(a.answer.Body)
 	reason := a.choice.Reason
 	if err != nil {
-		reason = "the answer could not be written: " + err.Error()
+		reason = "writing the response failed: " + err.Error()
 	}
 	x.log(logrus.InfoLevel, decision.OutcomeAnswered, a.answer.Status, reason, a)
 	x.count(a.answer.Status)
@@ -75,13 +75,13 @@
 	x.handler.Metrics.Observe(meter.Latency, x.handler.Timer.Now().Sub(x.began).Milliseconds(), x.label())
 }
 
-// reject ends a request that is not proper.
+// reject ends an invalid request.
 func (x *exchange) reject(status int, reason string) {
 	x.log(logrus.InfoLevel, "rejected", status, reason, nil)
 	x.fail(status, reason, 0)
 }
 
-// refuse ends a request that has not run and never will; a is the last attempt, or nil.
+// refuse ends a request that has not run and will not run; a is the last attempt, or nil.
 func (x *exchange) refuse(cause, reason string, retryAfter time.Duration, a *attempt) {
 	x.cause = cause
 	status := http.StatusServiceUnavailable
@@ -93,8 +93,8 @@
 	x.fail(status, reason, retryAfter)
 }
 
-// failure is the body of our own answers.
-type failure struct {
+// errorBody is the body of responses that this instance generates.
+type errorBody struct {
 	Error   string             `json:"error"`
 	Verdict lovageyard.Verdict `json:"verdict"`
 }
@@ -111,9 +111,9 @@
 	if retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	body, err := json.Marshal(failure{Error: reason, Verdict: verdict})
+	body, err := json.Marshal(errorBody{Error: reason, Verdict: verdict})
 	if err != nil {
-		x.handler.Logger.WithError(err).Error("a failure could not be encoded")
+		x.handler.Logger.WithError(err).Error("encoding an error response failed")
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.writer.WriteHeader(status)
@@ -125,7 +125,7 @@
 	x.handler.Metrics.Count(meter.Answers, x.label(), strconv.Itoa(status))
 }
 
-// label returns what stands for the request's service in metrics.
+// label returns the value of the service label in metrics.
 func (x *exchange) label() string {
 	if x.service == "" {
 		return "none"
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -10,7 +10,7 @@
 	"lovageyard.example/lovageyard/link"
 )
 
-// attempt is one try at a backend server.
+// attempt is one attempt at a backend server.
 type attempt struct {
 	choice dispatch.Choice
 	answer *link.Response
@@ -19,20 +19,20 @@
 	took   time.Duration
 }
 
-// isGood says whether the client gets the server's answer as a success, or as a refusal
-// of the request itself that another server would repeat.
-func (a *attempt) isGood() bool {
-	return a.mayBePassed() && a.answer.Status < http.StatusInternalServerError
+// succeeded reports whether the server's answer goes to the client as a success, or as a rejection of the
+// request that another server would repeat.
+func (a *attempt) succeeded() bool {
+	return a.isForwardable() && a.answer.Status < http.StatusInternalServerError
 }
 
-// mayBePassed says whether the client may get the server's answer: the server vouches for
-// it, and it does not tell the client that a request which ran has not.
-func (a *attempt) mayBePassed() bool {
+// isForwardable reports whether the server's answer may be sent to the client. The server must have sealed it,
+// and it must not claim that a request which ran has not run.
+func (a *attempt) isForwardable() bool {
 	return a.answer != nil && a.answer.Meta.Sealed && !a.answer.Meta.NotRun && !promisesNotRun(a.answer.Status)
 }
 
-// promisesNotRun says whether clients take a status as a promise that the request has not
-// run and never will.
+// promisesNotRun reports whether clients take a status as a promise that the request has not run and will not
+// run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -41,7 +41,7 @@
 	return false
 }
 
-// verdict says whether the attempt may have run.
+// verdict returns whether the attempt has run, may have run, or has not run.
 func (a *attempt) verdict() lovageyard.Verdict {
 	switch {
 	case a.err != nil:
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -8,29 +8,29 @@
 	"lovageyard.example/lovageyard"
 )
 
-// KnowledgeLimits bound how old the knowledge of the configuration may be that a request is judged by.
-type KnowledgeLimits struct {
-	// Serve is the age up to which requests with a key are served, as the key may have been taken
-	// away since; 0 means any age.
+// AgeLimits bound the age of the configuration with which requests are decided; see Source.ConfigurationAge.
+type AgeLimits struct {
+	// Serve is the maximum age at which requests with a key are served, as the key may have been revoked
+	// since; 0 means no limit.
 	Serve time.Duration
-	// Reject is the age up to which a request is rejected for a key or route that is not known, as it
-	// may have been added since; 0 means any age.
+	// Reject is the maximum age at which a request is rejected for an unknown key or route, as it may have
+	// been added since; 0 means no limit.
 	Reject time.Duration
 }
 
 const (
-	// retryNever says that coming back does not help.
-	retryNever = 0
-	// retryStale is when to come back after a refusal for the age of what is known: word of the
-	// platform comes each second.
-	retryStale = 300 * time.Millisecond
+	// noRetry is the retry time of refusals that a retry cannot change.
+	noRetry = 0
+	// staleRetry is the retry time of a refusal because the configuration is too old; it is normally confirmed
+	// every second.
+	staleRetry = 300 * time.Millisecond
 )
 
-// caller is whose request it is.
+// caller is the account of a request.
 type caller struct {
-	// identified says that the configuration has accounts, so that credentials were checked.
+	// identified reports whether the configuration has accounts, so that the credentials were checked.
 	identified bool
-	// account is the caller's, or nil if its request needs none.
+	// account is nil if the request needs no account.
 	account *lovageyard.Account
 }
 
@@ -41,7 +41,8 @@
 	return c.account.Name
 }
 
-// rank returns the rank of the caller's requests on a route; the account's goes first.
+// rank returns the priority of the caller's requests on a route. The account's rank takes precedence over the
+// route's.
 func (c caller) rank(route *lovageyard.Route) int {
 	if c.account == nil {
 		return route.Rank
@@ -49,8 +50,8 @@
 	return c.account.Rank
 }
 
-// identify finds the caller's account, or ends the request: credentials, where there are any, have to be good
-// ones also on routes that need none.
+// identify sets the caller's account, or ends the request. Credentials that are present have to be valid even
+// on routes that need none.
 func (x *exchange) identify() bool {
 	if x.view.Accounts.IsEmpty() {
 		return true
@@ -65,31 +66,33 @@
 		x.rejectUnknown(http.StatusUnauthorized, "the key is missing or unknown")
 		return false
 	}
-	if !x.isStillAllowed() {
-		x.rejectCaller()
+	if !x.keyIsValid() {
+		x.rejectRevoked()
 		return false
 	}
 	return true
 }
 
-// callerText returns what tells callers apart: a caller that changes its key is the same one.
-func (x *exchange) callerText() string {
+// callerID returns the part of the fingerprint that identifies the caller. It stays the same when an account
+// changes its key.
+func (x *exchange) callerID() string {
 	if x.caller.identified {
 		return x.caller.name()
 	}
 	return x.meta.Credentials.Raw
 }
 
-// isStillAllowed says whether the caller's key is one of its account's now, as far as that has to be known: a
-// key that was taken away runs nothing, whatever happens to this instance and its clocks.
-func (x *exchange) isStillAllowed() bool {
+// keyIsValid reports whether the caller's key belongs to its account now, and the configuration is recent
+// enough to tell. A revoked key must not run anything, even if this instance is disconnected from the platform
+// or its clock is wrong.
+func (x *exchange) keyIsValid() bool {
 	if x.caller.account == nil {
 		return true
 	}
 	return x.holdsKey() && isWithin(x.handler.Source.ConfigurationAge(), x.handler.Limits.Serve)
 }
 
-// holdsKey says whether the key is the account's by the configuration that is in force now.
+// holdsKey reports whether the key belongs to the account in the current configuration.
 func (x *exchange) holdsKey() bool {
 	now := x.handler.Source.View()
 	if now.Snapshot == x.view.Snapshot {
@@ -99,19 +102,20 @@
 	return found != nil && found.Name == x.caller.account.Name
 }
 
-// rejectCaller ends a request that isStillAllowed does not allow.
-func (x *exchange) rejectCaller() {
+// rejectRevoked ends a request for which keyIsValid returned false.
+func (x *exchange) rejectRevoked() {
 	if !x.holdsKey() {
 		x.rejectUnknown(http.StatusUnauthorized, "the key was taken away")
 		return
 	}
-	x.refuse(causeStale, "the key may have been taken away since the configuration was last confirmed", retryStale, nil)
+	x.refuse(causeStale, "the key may have been taken away since the configuration was last confirmed", staleRetry, nil)
 }
 
-// rejectUnknown ends a request that the configuration does not allow, unless a newer one may allow it.
+// rejectUnknown ends a request that the configuration does not allow. If the configuration is too old, a newer
+// one may allow it, so that the request is refused with a retry time instead.
 func (x *exchange) rejectUnknown(status int, reason string) {
 	if !x.view.Accounts.IsEmpty() && !isWithin(x.handler.Source.ConfigurationAge(), x.handler.Limits.Reject) {
-		x.refuse(causeStale, reason+", and may have been added since", retryStale, nil)
+		x.refuse(causeStale, reason+", and may have been added since", staleRetry, nil)
 		return
 	}
 	if status == http.StatusUnauthorized {
@@ -124,8 +128,8 @@
 	return limit == 0 || age <= limit
 }
 
-// setRegions sets the regions that may run the request: the homes of its route and of its account, or those that
-// both have. It returns false if they have none in common.
+// setRegions sets the regions that may run the request: the home regions of its route and of its account, or
+// their intersection if both have some. It returns false if the intersection is empty.
 func (x *exchange) setRegions() bool {
 	x.regions = x.route.HomeRegions
 	if x.caller.account == nil || len(x.caller.account.HomeRegions) == 0 {
--- a/entry/deadline_test.go
+++ b/entry/deadline_test.go
@@ -9,9 +9,8 @@
 	"lovageyard.example/lovageyard"
 )
 
-// A server gets the shorter of the client's deadline and the route's timeout. An answer
-// that it had ready in time is still delivered a little after the timeout, but not so late
-// that the client has left.
+// A server gets the shorter of the client's deadline and the route's timeout. An answer that the server had
+// ready in time is still delivered shortly after the timeout, but not after the client's own deadline.
 func TestDeadlines(t *testing.T) {
 	c := qt.New(t)
 	const second = time.Second
@@ -29,8 +28,8 @@
 		}
 		x.setDeadlines()
 		c.Assert(x.deadline.Sub(x.began), qt.Equals, test.server)
-		c.Assert(x.end.Sub(x.began), qt.Equals, test.end)
+		c.Assert(x.answerDeadline.Sub(x.began), qt.Equals, test.end)
 	}
-	// Operators allow a quarter of a second past the timeout.
+	// Operators tolerate 250 ms past the timeout.
 	c.Assert(answerGrace < 250*time.Millisecond, qt.IsTrue)
 }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -14,26 +14,28 @@
 	"lovageyard.example/lovageyard/meter"
 )
 
-// Spans of requests.
+// Time limits and bounds of requests.
 const (
-	// defaultDeadline bounds requests whose client and route name no deadline.
+	// defaultDeadline applies if neither the client nor the route sets a deadline.
 	defaultDeadline = 30 * time.Second
-	// retrySoon is when to come back to another instance: at once, but for the look-up.
-	retrySoon = 50 * time.Millisecond
-	// answerMargin is left of the client's deadline for the way of our own answer.
+	// immediateRetry is the retry time if another instance may serve the request immediately; it leaves time
+	// for a look-up.
+	immediateRetry = 50 * time.Millisecond
+	// answerMargin is subtracted from the client's deadline, so that a response of this instance still arrives
+	// in time.
 	answerMargin = 10 * time.Millisecond
-	// answerGrace is how long after a route's timeout an answer may still arrive that its
-	// server had ready in time; operators allow a quarter of a second.
+	// answerGrace is how long after a route's timeout an answer may still arrive that the server had ready in
+	// time; operators tolerate a quarter of a second.
 	answerGrace = 170 * time.Millisecond
-	// mostBroken is how many servers may break off one attempt of a client before it is sent to no
-	// further one: an innocent request hardly meets two ends, and one that ends servers takes
-	// the next one with all that runs there.
-	mostBroken = 2
-	// statusClientGone is logged for a request whose client went away.
+	// maxBrokenConnections is the number of servers that may close the connection of one request before it is
+	// not sent to another server. An innocent request hardly meets two crashes, and one that crashes servers
+	// would crash the next one with everything in flight there.
+	maxBrokenConnections = 2
+	// statusClientGone is logged for a request whose client disconnected.
 	statusClientGone = 499
 )
 
-// run makes attempts until one is final, and answers.
+// run makes attempts until one is final, and responds.
 func (x *exchange) run() {
 	ctx, cancel := x.context()
 	defer cancel()
@@ -45,19 +47,19 @@
 	}
 	for {
 		a := x.try(ctx, choice)
-		if a.isGood() || !x.mayRepeat(ctx, a) {
+		if a.succeeded() || !x.mayRetry(ctx, a) {
 			x.finish(ctx, a)
 			return
 		}
-		if !x.isStillAllowed() {
+		if !x.keyIsValid() {
 			x.finish(ctx, a)
 			return
 		}
 		choice = x.choose()
 		if choice.Cause == dispatch.CauseBackpressure {
-			x.returnAfter = choice.RetryAfter
+			x.retryAfter = choice.RetryAfter
 		}
-		if !x.allowsRepeat(choice) {
+		if !x.takeRetry(choice) {
 			x.finish(ctx, a)
 			return
 		}
@@ -65,21 +67,20 @@
 	}
 }
 
-// allowsRepeat says whether a repeat may go to a chosen server, and takes the choice back
-// if it may not.
-func (x *exchange) allowsRepeat(choice dispatch.Choice) bool {
+// takeRetry reports whether a retry may go to the chosen server. It cancels the choice if not.
+func (x *exchange) takeRetry(choice dispatch.Choice) bool {
 	if choice.Refused {
 		return false
 	}
-	if x.spendRepeat() {
+	if x.spendRetry() {
 		return true
 	}
 	x.handler.Dispatch.Cancel(choice)
 	return false
 }
 
-// spendRepeat takes one repeat from the budget that all instances share, if it has room.
-func (x *exchange) spendRepeat() bool {
+// spendRetry takes one retry from the budget that all instances share, if any is left.
+func (x *exchange) spendRetry() bool {
 	if x.handler.Dispatch.TakeRetry(x.service, x.handler.Timer.Now()) {
 		x.handler.Metrics.Count(meter.Repeats, x.label())
 		return true
@@ -88,14 +89,14 @@
 	return false
 }
 
-// context returns the context of all attempts: it ends at the deadline, and when the
-// client leaves if the request may be given up without harm.
+// context returns the context of all attempts. It is done at the deadline, and also when the client
+// disconnects if the request is idempotent.
 func (x *exchange) context() (context.Context, context.CancelFunc) {
 	parent := x.request.Context()
 	if !x.route.Idempotent {
 		parent = context.WithoutCancel(parent)
 	}
-	return context.WithDeadline(parent, x.end)
+	return context.WithDeadline(parent, x.answerDeadline)
 }
 
 func (x *exchange) choose() dispatch.Choice {
@@ -109,18 +110,19 @@
 		Regions:  x.regions,
 		Tried:    x.tried,
 	}
-	if x.broken > 0 || x.judge().Suspect {
-		// Requests that fell with one server, often of one object, part here: together they would
-		// fall with the next one too, and nobody could tell which of them is the cause.
+	if x.brokenConnections > 0 || x.evaluate().Suspect {
+		// Requests that were in flight on a crashed server often are for one object. They are sent to
+		// different servers now: on one server they would crash together again, and the cause could not be
+		// identified.
 		r.HashOverride = x.fingerprint
 	}
 	return x.handler.Dispatch.Choose(r)
 }
 
-// try makes one attempt and tells the dispatcher how it ended.
+// try makes one attempt and reports its outcome to the dispatch table.
 func (x *exchange) try(ctx context.Context, choice dispatch.Choice) *attempt {
 	x.tried = append(x.tried, choice.Server.Name)
-	x.measure(choice)
+	x.recordSend(choice)
 	began := x.handler.Timer.Now()
 	answer, err := x.handler.Sender.Send(ctx, x.outgoing(choice, began))
 	now := x.handler.Timer.Now()
@@ -132,33 +134,33 @@
 	if a.verdict() != lovageyard.VerdictNotRun {
 		x.ran = true
 	}
-	if a.mayBePassed() {
-		x.failed = a
+	if a.isForwardable() {
+		x.failedAttempt = a
 	}
 	if a.answer != nil && (a.answer.Meta.Misdirected || a.answer.Meta.Backpressure.Leaving) {
 		x.handler.Sender.Forget(choice.Server.Name)
 	}
-	x.tellQuarantine(a)
+	x.reportToQuarantine(a)
 	return a
 }
 
-// tellQuarantine passes on what an attempt says of the request and its server.
-func (x *exchange) tellQuarantine(a *attempt) {
+// reportToQuarantine reports the outcome of an attempt to the quarantine.
+func (x *exchange) reportToQuarantine(a *attempt) {
 	q := x.handler.Quarantine
 	if a.err != nil && a.err.ConnectionLost {
-		x.broken++
+		x.brokenConnections++
 		q.RecordLoss(a.choice.Server, x.fingerprint, a.sentAt)
 	}
 	if a.err != nil && a.err.ServerExited || a.answer != nil && a.answer.Meta.Misdirected {
 		q.RecordCrash(a.choice.Server)
 	}
-	if a.isGood() {
+	if a.succeeded() {
 		q.RecordSuccess(x.fingerprint)
 	}
 }
 
-// measure counts an attempt.
-func (x *exchange) measure(choice dispatch.Choice) {
+// recordSend updates the metrics for an attempt.
+func (x *exchange) recordSend(choice dispatch.Choice) {
 	m := x.handler.Metrics
 	m.Count(meter.Sends, x.label(), choice.Server.FailureDomain)
 	m.Observe(meter.ExpectedWait, choice.Wait.Milliseconds(), x.label())
@@ -167,10 +169,10 @@
 	}
 }
 
-// mayResend says whether a request may be sent to the server of a choice once more, and takes that from the budget and
-// from what the server allows.
+// mayResend reports whether the request may be sent to the chosen server once more. It charges the retry
+// budget and the server's own limit.
 func (x *exchange) mayResend(choice dispatch.Choice) bool {
-	return x.handler.Dispatch.TakeResend(choice, x.handler.Timer.Now()) && x.spendRepeat()
+	return x.handler.Dispatch.TakeResend(choice, x.handler.Timer.Now()) && x.spendRetry()
 }
 
 func (x *exchange) outgoing(choice dispatch.Choice, now time.Time) link.Request {
@@ -197,31 +199,30 @@
 	}
 }
 
-// outcome says what an attempt taught about its server.
+// outcome returns what an attempt shows about its server.
 func (x *exchange) outcome(ctx context.Context, a *attempt, now time.Time) dispatch.Outcome {
 	o := dispatch.Outcome{At: now}
 	if a.answer == nil {
 		o.Failed = true
-		// A client that left, or a deadline that came before the answer was due, does not
-		// speak against the server.
+		// A client that disconnected, or a deadline before the answer was due, is not the server's fault.
 		o.Abandoned = a.err.Throttled || ctx.Err() != nil && (x.request.Context().Err() != nil || a.took < 2*a.choice.Expected)
 		return o
 	}
 	o.Answered = true
 	o.NotRun = a.answer.Meta.NotRun
 	o.Misdirected = a.answer.Meta.Misdirected
-	o.Failed = !a.isGood()
+	o.Failed = !a.succeeded()
 	o.Meta = a.answer.Meta
 	o.DialTime = a.answer.DialTime
 	return o
 }
 
-// mayRepeat says whether the request may be sent to another server.
-func (x *exchange) mayRepeat(ctx context.Context, a *attempt) bool {
+// mayRetry reports whether the request may be sent to another server.
+func (x *exchange) mayRetry(ctx context.Context, a *attempt) bool {
 	if ctx.Err() != nil || x.request.Context().Err() != nil || len(x.tried) >= x.route.Attempts {
 		return false
 	}
-	if x.broken >= mostBroken || x.judge().Quarantined {
+	if x.brokenConnections >= maxBrokenConnections || x.evaluate().Quarantined {
 		return false
 	}
 	if a.answer != nil && a.answer.Meta.NotRun && a.answer.Status == http.StatusBadRequest {
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -20,33 +20,33 @@
 	"lovageyard.example/lovageyard/quota"
 )
 
-// maxBody bounds the bodies of requests, which are read whole before they are sent, so
-// that a slow caller holds no slot; the configuration may set a lower bound.
+// maxBody is the maximum size of request bodies; the configuration may set a lower one. Bodies are read
+// completely before the request is sent, so that a slow client does not occupy a slot of a server.
 const maxBody = 8 << 20
 
-// Source gives the view in force.
+// Source provides the current view of instances, servers and configuration.
 type Source interface {
 	View() *catalog.View
-	// ConfigurationAge returns how long ago the configuration in force was known to be the newest.
+	// ConfigurationAge returns how long ago the current configuration was confirmed to be the newest.
 	ConfigurationAge() time.Duration
 }
 
-// Codec translates the headers of the wire.
+// Codec translates between HTTP headers of the platform and request metadata.
 type Codec interface {
 	Request(h http.Header) lovageyard.RequestMeta
 	Outgoing(h http.Header, f lovageyard.Forwarding)
-	// Challenge asks for credentials in an answer of 401.
+	// Challenge adds the header that asks for credentials to a 401 response.
 	Challenge(h http.Header)
 	Echo(h http.Header, id string)
 }
 
-// Sender makes one attempt at a backend server; a failure is a *lovageyard.RequestError.
+// Sender makes one attempt at a backend server. Its errors are of type *lovageyard.RequestError.
 type Sender interface {
 	Send(ctx context.Context, r link.Request) (*link.Response, error)
 	Forget(server string)
 }
 
-// Quarantine judges requests by the servers that ended under them; requests go by their fingerprints.
+// Quarantine decides whether requests crash servers. Requests are identified by their fingerprints.
 type Quarantine interface {
 	Evaluate(request uint64) quarantine.Decision
 	RecordLoss(server lovageyard.BackendServer, request uint64, sentAt time.Time)
@@ -54,14 +54,14 @@
 	RecordSuccess(request uint64)
 }
 
-// Quota judges whether requests are within the limits of their accounts.
+// Quota decides whether requests are within the limits of their accounts.
 type Quota interface {
 	Admit(ctx context.Context, a *lovageyard.Account) quota.Decision
-	// Return takes back the admission of a request that has not run and will not.
+	// Return takes back the admission of a request that was not run and will not be.
 	Return(a *lovageyard.Account)
 }
 
-// Settings are what a Handler is made of.
+// Settings are the dependencies of a Handler; all but Limits are required.
 type Settings struct {
 	Source     Source
 	Codec      Codec
@@ -72,20 +72,20 @@
 	Timer      lovageyard.Timer
 	Logger     *logrus.Logger
 	Metrics    *meter.Set
-	Limits     KnowledgeLimits
+	Limits     AgeLimits
 }
 
-// Handler forwards callers' requests.
+// Handler forwards callers' requests to backend servers.
 type Handler struct {
 	Settings
 }
 
-// NewHandler returns a handler.
+// NewHandler returns a Handler, which is safe for concurrent use.
 func NewHandler(p Settings) *Handler {
 	return &Handler{Settings: p}
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP forwards one request, or responds with the reason why it was not run.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	view := h.Source.View()
 	x := &exchange{
@@ -102,7 +102,7 @@
 	x.serve()
 }
 
-// exchange is one caller's request on its way.
+// exchange is the state of one request.
 type exchange struct {
 	handler *Handler
 	writer  http.ResponseWriter
@@ -112,32 +112,32 @@
 	meta    lovageyard.RequestMeta
 	route   *lovageyard.Route
 	caller  caller
-	// regions are the only ones that may run the request; empty means all.
+	// regions are the regions that may run the request; empty means all.
 	regions []string
 	service string
 	body    []byte
-	// fingerprint stands for the request's content, whatever attempt of the client this is.
+	// fingerprint is the hash of the request's content, which is the same for all attempts of the client.
 	fingerprint uint64
-	// deadline is when a server has to be done, and end when its answer is given up here.
-	deadline time.Time
-	end      time.Time
-	tried    []string
-	// broken counts the servers that broke off the request.
-	broken int
-	// cause says why the request was refused, or is "".
+	// deadline is when a server has to be done, and answerDeadline when this instance stops waiting for its answer.
+	deadline       time.Time
+	answerDeadline time.Time
+	tried          []string
+	// brokenConnections counts the servers that closed the connection of the request.
+	brokenConnections int
+	// cause is the reason of a refusal for metrics and logs, or "".
 	cause string
-	// ran says that an attempt may have run the request.
+	// ran reports whether an attempt may have run the request.
 	ran bool
-	// returnAfter is when a server takes the request again, if all others have asked for less.
-	returnAfter time.Duration
-	// failed is the last attempt whose server answered with a failure of its own, or nil.
-	failed *attempt
+	// retryAfter is when a server accepts the request again, if all others have requested backoff.
+	retryAfter time.Duration
+	// failedAttempt is the last attempt whose server answered with a failure of its own, or nil.
+	failedAttempt *attempt
 }
 
 // serve checks the request and runs it.
 func (x *exchange) serve() {
 	if x.view.Refusing || x.view.Configuration == nil {
-		x.refuse(causeClosing, "this instance takes no requests", retrySoon, nil)
+		x.refuse(causeClosing, "this instance takes no requests", immediateRetry, nil)
 		return
 	}
 	x.route = x.view.Match(x.request.Host, x.path())
@@ -152,23 +152,23 @@
 		x.reject(status, err.Error())
 		return
 	}
-	// A body may take long to come.
-	if !x.isStillAllowed() {
-		x.rejectCaller()
+	// Reading the body may have taken long.
+	if !x.keyIsValid() {
+		x.rejectRevoked()
 		return
 	}
 	if !x.setRegions() {
-		x.refuse(causeNoRegion, "the route's home regions are none of the account's", retryNever, nil)
+		x.refuse(causeNoRegion, "the route's home regions are none of the account's", noRetry, nil)
 		return
 	}
 	x.fingerprint = x.content().Fingerprint()
 	x.setDeadlines()
 	if x.outlivesInstance() {
-		x.refuse(causeClosing, "this instance ends before the answer is due", retrySoon, nil)
+		x.refuse(causeClosing, "this instance ends before the answer is due", immediateRetry, nil)
 		return
 	}
-	if j := x.judge(); j.Quarantined {
-		x.refuse(causeHeld, "servers end under this request", j.Until.Sub(x.began), nil)
+	if j := x.evaluate(); j.Quarantined {
+		x.refuse(causeQuarantined, "servers end under this request", j.Until.Sub(x.began), nil)
 		return
 	}
 	if answer := x.handler.Quota.Admit(x.request.Context(), x.caller.account); answer.Verdict != quota.Admitted {
@@ -181,19 +181,19 @@
 	}
 }
 
-// judge returns what is thought of the request.
-func (x *exchange) judge() quarantine.Decision {
+// evaluate returns the quarantine's decision on the request.
+func (x *exchange) evaluate() quarantine.Decision {
 	return x.handler.Quarantine.Evaluate(x.fingerprint)
 }
 
-// outlivesInstance says whether the request may last longer than this instance, which leaves. It
-// would be cut off while its server is at work; another instance takes it at once.
+// outlivesInstance reports whether the request may last longer than this instance, which is shutting down. It
+// would be cut off while the server runs it; another instance accepts it immediately.
 func (x *exchange) outlivesInstance() bool {
-	return x.view.Leaving && x.end.After(x.view.ShutdownAt)
+	return x.view.Leaving && x.answerDeadline.After(x.view.ShutdownAt)
 }
 
-// setDeadlines sets when the servers have to be done, which is the shorter of the client's
-// deadline and the route's timeout, and when the last answer is given up here.
+// setDeadlines sets the deadline for the servers, which is the shorter of the client's deadline and the
+// route's timeout, and the time at which this instance stops waiting for an answer.
 func (x *exchange) setDeadlines() {
 	limit := x.route.Timeout
 	end := limit + answerGrace
@@ -206,13 +206,13 @@
 		end = min(end, client-answerMargin)
 	}
 	x.deadline = x.began.Add(limit)
-	x.end = x.began.Add(end)
+	x.answerDeadline = x.began.Add(end)
 }
 
-// content returns what the request has in common with other attempts at it.
+// content returns the part of the request that is the same for all attempts of the client.
 func (x *exchange) content() quarantine.Content {
 	return quarantine.Content{
-		Caller: x.callerText(),
+		Caller: x.callerID(),
 		Method: x.request.Method,
 		Host:   x.request.Host,
 		Target: x.request.RequestURI,
@@ -220,7 +220,7 @@
 	}
 }
 
-// path returns the request's path as the client wrote it, without the query.
+// path returns the request's path exactly as the client sent it, without the query.
 func (x *exchange) path() string {
 	path, _, _ := strings.Cut(x.request.RequestURI, "?")
 	return path
@@ -247,13 +247,13 @@
 	return http.StatusBadRequest, err
 }
 
-// Causes of refusals, for metrics, besides those of the choice of a server.
+// Causes of refusals in metrics and logs, in addition to those of the dispatch table.
 const (
-	causeClosing    = "closing"
-	causeHeld       = "held"
-	causeServer     = "server"
-	causeNotReached = "not-reached"
-	causeStale      = "stale"
-	causeLimit      = "limit"
-	causeNoRegion   = "no-region"
+	causeClosing     = "closing"
+	causeQuarantined = "held"
+	causeServer      = "server"
+	causeNotReached  = "not-reached"
+	causeStale       = "stale"
+	causeLimit       = "limit"
+	causeNoRegion    = "no-region"
 )
--- a/entry/log.go
+++ b/entry/log.go
@@ -10,7 +10,7 @@
 	"lovageyard.example/lovageyard/quarantine"
 )
 
-// log writes the line of one decision.
+// log writes the log line of one decision.
 func (x *exchange) log(level logrus.Level, outcome string, status int, reason string, a *attempt) {
 	if !x.handler.Logger.IsLevelEnabled(level) {
 		return
@@ -42,7 +42,7 @@
 	x.handler.Logger.WithFields(fields).Log(level, "request")
 }
 
-// addRefusal adds why the request was refused, if it was.
+// addRefusal adds the cause of a refusal.
 func (x *exchange) addRefusal(fields logrus.Fields) {
 	if x.cause != "" {
 		fields["cause"] = x.cause
@@ -50,12 +50,12 @@
 	if x.cause == causeStale {
 		fields["knowledge-age-ms"] = x.handler.Source.ConfigurationAge().Milliseconds()
 	}
-	if x.cause == causeHeld {
+	if x.cause == causeQuarantined {
 		fields["fingerprint"] = quarantine.Format(x.fingerprint)
 	}
 }
 
-// addAttempt adds what decided an attempt, and how it ended.
+// addAttempt adds the reasons for the choice of a server, and the attempt's outcome.
 func (x *exchange) addAttempt(fields logrus.Fields, a *attempt) {
 	fields["server"] = a.choice.Server.Name
 	fields["site"] = a.choice.Server.Site
@@ -76,7 +76,7 @@
 	}
 }
 
-// addNotice adds what the server has asked for in its answer.
+// addNotice adds the requests of the server in its answer.
 func addNotice(fields logrus.Fields, n lovageyard.Backpressure) {
 	if n.Limited {
 		fields["server-limit"] = n.Limit
--- a/entry/lookup.go
+++ b/entry/lookup.go
@@ -10,17 +10,17 @@
 	"lovageyard.example/lovageyard/platform"
 )
 
-// maxAddresses is the largest number of addresses that a client takes from one answer.
+// maxAddresses is the largest number of addresses that clients accept in one answer.
 const maxAddresses = 64
 
-// Directory answers look-ups.
+// Directory answers look-ups of the addresses of entry instances.
 type Directory struct {
 	Source Source
-	// KeepFor is how long clients may keep an answer.
+	// KeepFor is how long clients may cache an answer.
 	KeepFor time.Duration
 }
 
-// ServeHTTP answers one look-up.
+// ServeHTTP answers one look-up, or 503 while this instance is not ready.
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.LookUpPath {
 		http.NotFound(w, r)
@@ -29,7 +29,7 @@
 	query := platform.LookUpQueryOf(r.URL.Query())
 	view := d.Source.View()
 	if !view.Ready {
-		// The client asks the next instance, which knows better where to connect.
+		// The client then asks the next instance, which has a more complete view.
 		http.Error(w, "this instance is not ready", http.StatusServiceUnavailable)
 		return
 	}
@@ -53,8 +53,8 @@
 	_, _ = w.Write(body)
 }
 
-// addresses returns where a client of a region should connect: to the instances of its own region, if there are any
-// those that know the newest configuration, or to all others if none of the region is alive.
+// addresses returns the addresses that a client of a region should connect to. It prefers the region's
+// instances with the newest configuration, then the region's other instances, then those of other regions.
 func addresses(view *catalog.View, region string) []string {
 	var own, behind, others []string
 	for _, m := range view.Live {
@@ -77,12 +77,12 @@
 	return own[:min(maxAddresses, len(own))]
 }
 
-// Readiness tells the platform whether this instance can serve.
+// Readiness answers the platform's readiness probes.
 type Readiness struct {
 	Source Source
 }
 
-// ServeHTTP answers 200 while this instance takes requests, else 503.
+// ServeHTTP answers 200 while this instance accepts requests, otherwise 503.
 func (d *Readiness) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.ReadyPath {
 		http.NotFound(w, r)
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -9,14 +9,15 @@
 	"lovageyard.example/lovageyard/dispatch"
 )
 
-// NoticeObserver passes what servers ask for in their answers to the choice of servers.
+// NoticeObserver passes the notices in servers' answers to the dispatch table, and logs changes. It implements
+// link.Observer.
 type NoticeObserver struct {
 	Dispatch *dispatch.Table
 	Timer    lovageyard.Timer
 	Logger   *logrus.Logger
 }
 
-// Observe takes in the notice of an answer; its request was sent at a time.
+// Observe applies the notice of an answer to a request that was sent at sentAt.
 func (o *NoticeObserver) Observe(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time) {
 	change := o.Dispatch.Observe(s, n, sentAt, o.Timer.Now())
 	log := o.Logger.WithField("server", s.Name)
@@ -24,13 +25,13 @@
 		log.Info("a server says that it leaves")
 	}
 	if change.Backoff {
-		log.WithField("server-backoff-ms", n.Backoff.Milliseconds()).Info("a server asks for a backoff")
+		log.WithField("server-backoff-ms", n.Backoff.Milliseconds()).Info("server requested backoff")
 	}
 	if change.Limit {
 		fields := logrus.Fields{"limited": n.Limited}
 		if n.Limited {
 			fields["server-limit"] = n.Limit
 		}
-		log.WithFields(fields).Info("a server's limit has changed")
+		log.WithFields(fields).Info("server limit changed")
 	}
 }
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -12,94 +12,94 @@
 	"lovageyard.example/lovageyard/quarantine"
 )
 
-// broken is an attempt whose server ends while it has the request.
+// broken is an attempt whose server crashes with the request in flight.
 func broken() step {
 	err := lovageyard.MayHaveRun("the connection was closed", nil)
 	err.ConnectionLost, err.ServerExited = true, true
 	return step{err: err}
 }
 
-// newCrashYard returns a handler that remembers, before many servers.
-func newCrashYard(t *testing.T, idempotent bool, attempts int, steps ...step) *yard {
-	y := newYardOf(t, 9, steps...)
-	y.setRoute(lovageyard.Route{
+// newQuarantineHarness returns a harness with nine servers whose quarantine persists across requests.
+func newQuarantineHarness(t *testing.T, idempotent bool, attempts int, steps ...step) *harness {
+	h := newHarnessOf(t, 9, steps...)
+	h.setRoute(lovageyard.Route{
 		Name: "r", Host: "a.example", Prefix: "/x/", Idempotent: idempotent, Timeout: 20 * time.Second, Goal: 20 * time.Second,
 		Attempts: attempts, Sticky: true,
 	})
-	y.serving = y.handler()
-	return y
+	h.serving = h.handler()
+	return h
 }
 
-// One attempt of a client takes two servers with it at most, however many its route allows.
-func TestRequestThatTwoServersBrokeOffGoesToNoThird(t *testing.T) {
-	y := newCrashYard(t, true, 6, broken(), broken(), good(200))
-	response := y.ask(http.MethodGet, "/x/deadly", "")
-	y.c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
-	y.c.Assert(y.sender.sent, qt.HasLen, 2)
+// One request of a client crashes at most two servers, however many attempts its route allows.
+func TestRequestWithTwoBrokenConnectionsIsNotRetried(t *testing.T) {
+	h := newQuarantineHarness(t, true, 6, broken(), broken(), success(200))
+	response := h.send(http.MethodGet, "/x/deadly", "")
+	h.c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
+	h.c.Assert(h.sender.sent, qt.HasLen, 2)
 }
 
-// Attempts of clients that have the same content are one request, whatever their identities; the one
-// after the third end is refused, truly as not run, and told when to come back.
-func TestRequestThatEndedThreeServersIsRefused(t *testing.T) {
+// Requests of clients with the same content are the same request, whatever their IDs. The one after the third
+// crash is refused as not run, with a retry time.
+func TestRequestIsRefusedAfterThreeCrashes(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		t.Run(fmt.Sprint("idempotent ", idempotent), func(t *testing.T) {
-			y := newCrashYard(t, idempotent, 1, broken(), broken(), broken(), good(200))
+			h := newQuarantineHarness(t, idempotent, 1, broken(), broken(), broken(), success(200))
 			for range 3 {
-				response := y.ask(http.MethodPost, "/x/deadly", "body")
-				y.c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
+				response := h.send(http.MethodPost, "/x/deadly", "body")
+				h.c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
 			}
-			response := y.ask(http.MethodPost, "/x/deadly", "body")
-			y.c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
-			y.c.Assert(response.Header.Get(lovageyard.VerdictHeader), qt.Equals, string(lovageyard.VerdictNotRun))
-			y.c.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
-			y.c.Assert(y.sender.sent, qt.HasLen, 3)
-			y.c.Assert(y.log.String(), qt.Contains, `"cause":"held"`)
-			// Another body is another request.
-			y.c.Assert(y.ask(http.MethodPost, "/x/deadly", "other").StatusCode, qt.Equals, http.StatusOK)
+			response := h.send(http.MethodPost, "/x/deadly", "body")
+			h.c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
+			h.c.Assert(response.Header.Get(lovageyard.VerdictHeader), qt.Equals, string(lovageyard.VerdictNotRun))
+			h.c.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
+			h.c.Assert(h.sender.sent, qt.HasLen, 3)
+			h.c.Assert(h.log.String(), qt.Contains, `"cause":"held"`)
+			// A request with another body has another fingerprint.
+			h.c.Assert(h.send(http.MethodPost, "/x/deadly", "other").StatusCode, qt.Equals, http.StatusOK)
 		})
 	}
 }
 
-// A caller whose request fell beside a deadly one, at the same three servers, is served.
-func TestCallerThatFellBesideADeadlyRequestIsServed(t *testing.T) {
-	y := newCrashYard(t, true, 1, broken(), broken(), broken(), good(200), broken(), good(200))
-	beside := quarantine.Content{Method: http.MethodGet, Host: "a.example", Target: "/x/beside"}.Fingerprint()
+// A request that was in flight with a poison request at the same three crashes is served.
+func TestBystanderOfPoisonRequestIsServed(t *testing.T) {
+	h := newQuarantineHarness(t, true, 1, broken(), broken(), broken(), success(200), broken(), success(200))
+	bystander := quarantine.Content{Method: http.MethodGet, Host: "a.example", Target: "/x/beside"}.Fingerprint()
 	for n := range 3 {
-		y.ask(http.MethodGet, "/x/deadly", "")
-		y.watch.RecordLoss(lovageyard.BackendServer{Name: y.sender.sent[n].Server}, beside, time.Now())
+		h.send(http.MethodGet, "/x/deadly", "")
+		h.watch.RecordLoss(lovageyard.BackendServer{Name: h.sender.sent[n].Server}, bystander, time.Now())
 	}
-	y.c.Assert(y.watch.Evaluate(beside).Suspect, qt.IsTrue)
-	y.c.Assert(y.ask(http.MethodGet, "/x/beside", "").StatusCode, qt.Equals, http.StatusOK)
-	y.c.Assert(y.ask(http.MethodGet, "/x/deadly", "").StatusCode, qt.Equals, http.StatusServiceUnavailable)
-	y.c.Assert(y.watch.Evaluate(beside), qt.Equals, quarantine.Decision{})
+	h.c.Assert(h.watch.Evaluate(bystander).Suspect, qt.IsTrue)
+	h.c.Assert(h.send(http.MethodGet, "/x/beside", "").StatusCode, qt.Equals, http.StatusOK)
+	h.c.Assert(h.send(http.MethodGet, "/x/deadly", "").StatusCode, qt.Equals, http.StatusServiceUnavailable)
+	h.c.Assert(h.watch.Evaluate(bystander), qt.Equals, quarantine.Decision{})
 }
 
-// Requests for one object fell with its server. On their next attempts they go to several servers: together
-// they would fall with the next one as well.
-func TestRequestsThatFellTogetherPart(t *testing.T) {
+// Requests for one object were in flight when its server crashed. On their next attempts they go to several
+// servers, as on one server they could crash it together.
+func TestRequestsOfCrashedServerAreSpread(t *testing.T) {
 	const count = 6
 	var steps []step
 	for range 2 * count {
-		steps = append(steps, good(200))
+		steps = append(steps, success(200))
 	}
-	y := newCrashYard(t, true, 1, steps...)
-	y.key = "object"
+	h := newQuarantineHarness(t, true, 1, steps...)
+	h.key = "object"
 	path := func(n int) string { return fmt.Sprint("/x/", n) }
-	ask := func() map[string]bool {
+	send := func() map[string]bool {
 		servers := make(map[string]bool)
 		for n := range count {
-			y.c.Assert(y.ask(http.MethodGet, path(n), "").StatusCode, qt.Equals, http.StatusOK)
-			servers[y.sender.sent[len(y.sender.sent)-1].Server] = true
+			h.c.Assert(h.send(http.MethodGet, path(n), "").StatusCode, qt.Equals, http.StatusOK)
+			servers[h.sender.sent[len(h.sender.sent)-1].Server] = true
 		}
 		return servers
 	}
-	ended := lovageyard.BackendServer{Name: "ended"}
+	crashed := lovageyard.BackendServer{Name: "ended"}
 	for n := range count {
 		content := quarantine.Content{Method: http.MethodGet, Host: "a.example", Target: path(n)}
-		y.watch.RecordLoss(ended, content.Fingerprint(), time.Now())
+		h.watch.RecordLoss(crashed, content.Fingerprint(), time.Now())
 	}
-	y.watch.RecordCrash(ended)
-	y.c.Assert(len(ask()) > 1, qt.IsTrue)
-	// Once they are answered, the object has its home again.
-	y.c.Assert(ask(), qt.HasLen, 1)
+	h.watch.RecordCrash(crashed)
+	h.c.Assert(len(send()) > 1, qt.IsTrue)
+	// Once they have succeeded, the object has its home server again.
+	h.c.Assert(send(), qt.HasLen, 1)
 }
--- a/freshness/doc.go
+++ b/freshness/doc.go
@@ -1,6 +1,7 @@
-// Package freshness keeps how long ago the configuration in force at an instance was known to be the
-// platform's newest, so that what may have changed since can be left undone.
+// Package freshness tracks how long ago the current configuration of an instance was confirmed to be the
+// platform's newest. An instance whose confirmation is too old must not rely on anything that may have changed
+// since.
 //
-// No clocks of two machines are compared. All times are those of one machine's clock that also counts
-// the time for which the machine was suspended; others tell ages.
+// Clocks of different machines are never compared. All times are readings of one machine's monotonic clock,
+// which also advances while the machine is suspended; other machines report ages.
 package freshness
--- a/freshness/tracker.go
+++ b/freshness/tracker.go
@@ -6,57 +6,60 @@
 	"time"
 )
 
-// Unknown is the age of what was never confirmed.
+// Unknown is the age of a configuration that was never confirmed.
 const Unknown = time.Duration(math.MaxInt64)
 
-// Read is one answer of the platform that holds all changes up to its newest version.
+// Read describes one successful read from the platform that returned all changes up to its newest version.
 type Read struct {
-	// BeganAt and EndedAt are when the call was made and answered.
+	// StartedAt and FinishedAt are when the call started and returned.
 	StartedAt  time.Duration
 	FinishedAt time.Duration
-	// PlatformTime is the platform's steady clock as it answered, or 0 if it did not say.
+	// PlatformTime is the platform's monotonic clock when it answered, or 0 if the answer did not contain it.
 	PlatformTime time.Duration
 }
 
-// PeerReport is a peer's answer that tells how old its own knowledge was.
+// PeerReport describes a peer's reply that contains the age of the peer's own confirmation.
 type PeerReport struct {
-	// AskedAt is when the peer was asked.
+	// RequestedAt is when the request was sent to the peer.
 	RequestedAt time.Duration
-	// Held is how long the peer took to answer, at least, and Age the age of its knowledge as it did.
+	// ReplyDelay is a lower bound of the time the peer took to reply, and Age the age of its confirmation when
+	// it replied.
 	ReplyDelay time.Duration
 	Age        time.Duration
 }
 
-// Tracker keeps the last moment at which the configuration in force is known to have been the newest.
-// ObserveRead and Hear belong to one goroutine; Age may be called from several.
+// Tracker keeps the latest time at which the current configuration is known to have been the newest.
+// ObserveRead and ObservePeer must be called from one goroutine; Age is safe for concurrent use.
 type Tracker struct {
 	confirmedAt atomic.Int64
-	// readAt is a moment that is not after the one at which the platform's clock showed platformTime.
-	readAt       time.Duration
+	// lastReadAt is a time not later than the one at which the platform's clock showed platformTime.
+	lastReadAt   time.Duration
 	platformTime time.Duration
 }
 
-// ObserveRead takes in an answer of the platform, once all changes in it are in force.
+// ObserveRead records a read from the platform. It is to be called once all changes of the read are in force.
 func (t *Tracker) ObserveRead(r Read) {
 	at := r.StartedAt
 	if r.PlatformTime > t.platformTime && t.platformTime > 0 {
-		// A call that waited was answered later than it began, by the time that has passed at the platform
-		// since another answer. A clock of the platform that goes wrong can't lead past the call's end.
-		if by := t.readAt + r.PlatformTime - t.platformTime; by <= r.FinishedAt {
-			at = max(at, by)
+		// A long poll is answered later than it started, namely by the time that has passed on the platform's
+		// clock since an earlier answer. A faulty platform clock cannot yield a time after the call returned.
+		if answeredAt := t.lastReadAt + r.PlatformTime - t.platformTime; answeredAt <= r.FinishedAt {
+			at = max(at, answeredAt)
 		}
 	}
-	t.readAt, t.platformTime = at, r.PlatformTime
+	t.lastReadAt, t.platformTime = at, r.PlatformTime
 	t.confirm(at)
 }
 
-// ObservePeer takes in a peer's word, once all changes that the peer knew are in force.
-func (t *Tracker) ObservePeer(w PeerReport) {
-	if w.Age == Unknown || w.Age < 0 || w.ReplyDelay < 0 {
+// ObservePeer records a peer's report. It is to be called once all changes known to the peer are in force.
+// Reports without a valid age are ignored.
+func (t *Tracker) ObservePeer(r PeerReport) {
+	if r.Age == Unknown || r.Age < 0 || r.ReplyDelay < 0 {
 		return
 	}
-	// The peer was asked at AskedAt at the earliest, and answered Held later at the earliest.
-	t.confirm(w.RequestedAt + w.ReplyDelay - w.Age)
+	// The request reached the peer at RequestedAt at the earliest, and the peer replied ReplyDelay later at
+	// the earliest.
+	t.confirm(r.RequestedAt + r.ReplyDelay - r.Age)
 }
 
 func (t *Tracker) confirm(at time.Duration) {
@@ -65,7 +68,7 @@
 	}
 }
 
-// Age returns how long ago, at most, the configuration in force was the newest, or Unknown.
+// Age returns an upper bound of the time since the current configuration was the newest, or Unknown.
 func (t *Tracker) Age(now time.Duration) time.Duration {
 	at := t.confirmedAt.Load()
 	if at == 0 {
--- a/lovageyardd/edge_options.go
+++ b/lovageyardd/edge_options.go
@@ -124,8 +124,8 @@
 const knowledgeShare = 0.9
 
 // knowledgeLimits returns how old the knowledge may be that requests are judged by.
-func (o *edgeOptions) knowledgeLimits() entry.KnowledgeLimits {
-	return entry.KnowledgeLimits{
+func (o *edgeOptions) knowledgeLimits() entry.AgeLimits {
+	return entry.AgeLimits{
 		Serve:  time.Duration(knowledgeShare * float64(o.RevokeWithin)),
 		Reject: time.Duration(knowledgeShare * float64(o.ApplyWithin)),
 	}
