--- a/backpressure/play_test.go
+++ b/backpressure/play_test.go
@@ -44,7 +44,7 @@
 	}
 	m.record.RecordSend(now)
 	counts := !m.toldAt.IsZero() && now.Sub(m.toldAt) >= toldAfter
-	m.record.Observe(lovageyard.Notice{Limited: true, Limit: limit}, now, now.Add(time.Millisecond))
+	m.record.Observe(lovageyard.Backpressure{Limited: true, Limit: limit}, now, now.Add(time.Millisecond))
 	if m.toldAt.IsZero() {
 		m.toldAt = now
 	}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -14,7 +14,7 @@
 // regions.
 func BenchmarkChooseAmongAThousand(b *testing.B) {
 	view := &catalog.Snapshot{Configuration: &lovageyard.Configuration{
-		Routes:   []lovageyard.Route{{Name: "r", Goal: time.Second, Sticky: true, Parts: []lovageyard.Part{{Service: "desk", Weight: 1}}}},
+		Routes:   []lovageyard.Route{{Name: "r", Goal: time.Second, Sticky: true, Parts: []lovageyard.ServiceWeight{{Service: "desk", Weight: 1}}}},
 		Services: map[string]lovageyard.Service{"desk": {Name: "desk"}},
 	}}
 	for i := range 1000 {
--- a/dispatch/choose_test.go
+++ b/dispatch/choose_test.go
@@ -38,7 +38,7 @@
 			Version: 1,
 			Routes: []lovageyard.Route{{
 				Name: "r", Idempotent: true, Goal: 200 * time.Millisecond, Sticky: true, Attempts: 2,
-				Parts: []lovageyard.Part{{Service: "desk", Weight: 1}},
+				Parts: []lovageyard.ServiceWeight{{Service: "desk", Weight: 1}},
 			}},
 			Services: map[string]lovageyard.Service{"desk": {Name: "desk", ColdRate: 2}},
 		},
@@ -406,7 +406,7 @@
 func TestNewIncarnationStartsWithoutHistory(t *testing.T) {
 	tt := newTestTable(t)
 	tt.view.Servers = tt.view.Servers[:1]
-	tt.view.Servers[0].Life = 100
+	tt.view.Servers[0].Incarnation = 100
 	tt.table.SetCatalog(tt.view, tt.now)
 	var inFlight []dispatch.Choice
 	for {
@@ -419,11 +419,11 @@
 	tt.c.Assert(len(inFlight) > 1, qt.IsTrue)
 	next := *tt.view
 	next.Servers = []catalog.Server{tt.view.Servers[0]}
-	next.Servers[0].Life = 200
+	next.Servers[0].Incarnation = 200
 	tt.table.SetCatalog(&next, tt.now)
 	choice := tt.choose("k")
 	tt.c.Assert(choice.Refused, qt.IsFalse)
-	tt.c.Assert(choice.Server.Life, qt.Equals, int64(200))
+	tt.c.Assert(choice.Server.Incarnation, qt.Equals, int64(200))
 	tt.c.Assert(choice.Wait, qt.Equals, time.Duration(0))
 	// The results of requests at the previous incarnation must not affect the new one.
 	for _, h := range inFlight {
--- a/dispatch/record.go
+++ b/dispatch/notice.go
@@ -26,7 +26,7 @@
 }
 
 func incarnationOf(s lovageyard.BackendServer) incarnation {
-	return incarnation{name: s.Name, startedAt: s.Life}
+	return incarnation{name: s.Name, startedAt: s.Incarnation}
 }
 
 // recordEntry is the backpressure record of one incarnation.
@@ -44,7 +44,7 @@
 // anything.
 func (t *Table) recordOf(s lovageyard.BackendServer, now time.Time) *backpressure.Record {
 	entry := t.records[incarnationOf(s)]
-	if entry != nil && s.Life == 0 && !entry.unlistedAt.IsZero() && now.Sub(entry.unlistedAt) > assumedRestartGap {
+	if entry != nil && s.Incarnation == 0 && !entry.unlistedAt.IsZero() && now.Sub(entry.unlistedAt) > assumedRestartGap {
 		delete(t.records, incarnationOf(s))
 		entry = nil
 	}
@@ -56,12 +56,12 @@
 
 // Observe applies the backpressure that a response of a server requests, and returns what has
 // changed. The request was sent at sentAt.
-func (t *Table) Observe(s lovageyard.BackendServer, n lovageyard.Notice, sentAt, now time.Time) backpressure.Change {
+func (t *Table) Observe(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt, now time.Time) backpressure.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entry := t.records[incarnationOf(s)]
 	if entry == nil {
-		if n == (lovageyard.Notice{}) {
+		if n == (lovageyard.Backpressure{}) {
 			return backpressure.Change{}
 		}
 		entry = t.addRecord(s, now)
@@ -73,7 +73,7 @@
 // addRecord starts to keep the record of a server.
 func (t *Table) addRecord(s lovageyard.BackendServer, now time.Time) *recordEntry {
 	entry := &recordEntry{record: backpressure.NewRecord(t.settings.Self, s.Name, t.instances)}
-	if known := t.servers[s.Name]; known != nil && known.Life == s.Life {
+	if known := t.servers[s.Name]; known != nil && known.Incarnation == s.Incarnation {
 		entry.record = known.record
 		entry.record.SetInstances(t.instances, now)
 	} else {
--- a/dispatch/record_test.go
+++ b/dispatch/notice_test.go
@@ -13,7 +13,7 @@
 )
 
 // observe applies a notice as if it came with a response of a server.
-func (tt *testTable) observe(server string, n lovageyard.Notice) {
+func (tt *testTable) observe(server string, n lovageyard.Backpressure) {
 	tt.table.Observe(tt.listed(server).BackendServer, n, tt.now, tt.now)
 }
 
@@ -29,7 +29,7 @@
 
 // countSends sends requests at short intervals, for many objects or for none, and returns how many
 // each server gets.
-func (tt *testTable) countSends(span time.Duration, named bool, notice map[string]lovageyard.Notice) map[string]int {
+func (tt *testTable) countSends(span time.Duration, named bool, notice map[string]lovageyard.Backpressure) map[string]int {
 	counts := make(map[string]int)
 	for end := tt.now.Add(span); tt.now.Before(end); tt.now = tt.now.Add(20 * time.Millisecond) {
 		key := ""
@@ -54,9 +54,9 @@
 	for _, named := range []bool{true, false} {
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
 			tt := newTestTable(t)
-			limited := lovageyard.Notice{Limited: true, Limit: 2}
+			limited := lovageyard.Backpressure{Limited: true, Limit: 2}
 			tt.observe("east-0", limited)
-			counts := tt.countSends(20*time.Second, named, map[string]lovageyard.Notice{"east-0": limited})
+			counts := tt.countSends(20*time.Second, named, map[string]lovageyard.Backpressure{"east-0": limited})
 			tt.c.Assert(counts["east-0"] <= 40, qt.IsTrue, qt.Commentf("%v", counts))
 			tt.c.Assert(counts["east-0"] > 20, qt.IsTrue, qt.Commentf("%v", counts))
 			tt.c.Assert(counts["east-0"]+counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 1000)
@@ -68,7 +68,7 @@
 	tt := newTestTable(t)
 	tt.view.Servers = tt.view.Servers[:2]
 	tt.table.SetCatalog(tt.view, tt.now)
-	tt.observe("east-0", lovageyard.Notice{Limited: true, Limit: 2})
+	tt.observe("east-0", lovageyard.Backpressure{Limited: true, Limit: 2})
 	tt.now = tt.now.Add(2 * time.Second)
 	choice := tt.choose("", "east-1")
 	tt.c.Assert(choice.Refused, qt.IsFalse)
@@ -85,7 +85,7 @@
 func TestRefusedRequestGetsRetryAfter(t *testing.T) {
 	tt := newTestTable(t)
 	for _, s := range tt.view.Servers {
-		tt.observe(s.Name, lovageyard.Notice{Limited: true, Limit: 0.5})
+		tt.observe(s.Name, lovageyard.Backpressure{Limited: true, Limit: 0.5})
 	}
 	refused := tt.choose("k")
 	tt.c.Assert(refused.Cause, qt.Equals, dispatch.CauseBackpressure)
@@ -97,20 +97,20 @@
 // a restart of the server.
 func TestLimitSurvivesUnlistingButNotRestart(t *testing.T) {
 	tt := newTestTable(t)
-	tt.observe("east-0", lovageyard.Notice{Limited: true, Limit: 0.01})
+	tt.observe("east-0", lovageyard.Backpressure{Limited: true, Limit: 0.01})
 	all := tt.view.Servers
 	tt.view.Servers = all[1:2]
 	tt.table.SetCatalog(tt.view, tt.now)
 	tt.view.Servers = all[:2]
 	tt.table.SetCatalog(tt.view, tt.now)
 	tt.c.Assert(tt.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
-	all[0].Life = 7
+	all[0].Incarnation = 7
 	tt.table.SetCatalog(tt.view, tt.now)
 	tt.c.Assert(tt.choose("", "east-1").Refused, qt.IsFalse)
 	// A late response of the previous incarnation must not affect this one.
 	earlier := all[0].BackendServer
-	earlier.Life = 0
-	tt.table.Observe(earlier, lovageyard.Notice{Limited: true, Limit: 0.01}, tt.now, tt.now)
+	earlier.Incarnation = 0
+	tt.table.Observe(earlier, lovageyard.Backpressure{Limited: true, Limit: 0.01}, tt.now, tt.now)
 	tt.c.Assert(tt.choose("", "east-1").Refused, qt.IsFalse)
 }
 
@@ -121,7 +121,7 @@
 	all := tt.view.Servers
 	tt.view.Servers = all[1:2]
 	tt.table.SetCatalog(tt.view, tt.now)
-	tt.table.Observe(all[0].BackendServer, lovageyard.Notice{Limited: true, Limit: 0.01}, tt.now, tt.now)
+	tt.table.Observe(all[0].BackendServer, lovageyard.Backpressure{Limited: true, Limit: 0.01}, tt.now, tt.now)
 	tt.view.Servers = all[:2]
 	tt.table.SetCatalog(tt.view, tt.now)
 	tt.c.Assert(tt.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
@@ -134,14 +134,14 @@
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
 			tt := newTestTable(t)
 			inFlight := tt.choose("")
-			tt.observe("east-0", lovageyard.Notice{Leaving: true})
+			tt.observe("east-0", lovageyard.Backpressure{Leaving: true})
 			counts := tt.countSends(10*time.Second, named, nil)
 			tt.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
 			tt.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 500)
-			tt.observe(inFlight.Server.Name, lovageyard.Notice{Leaving: true})
+			tt.observe(inFlight.Server.Name, lovageyard.Backpressure{Leaving: true})
 			tt.c.Assert(tt.table.TakeResend(inFlight, tt.now), qt.IsFalse)
 			for _, s := range tt.view.Servers {
-				tt.observe(s.Name, lovageyard.Notice{Leaving: true})
+				tt.observe(s.Name, lovageyard.Backpressure{Leaving: true})
 			}
 			tt.c.Assert(tt.choose("k").Cause, qt.Equals, dispatch.CauseNoServer)
 		})
@@ -167,17 +167,17 @@
 			tt := newTestTable(t)
 			all := tt.view.Servers[:2]
 			if test.incarnation > 0 {
-				all[0].Life = 7
+				all[0].Incarnation = 7
 			}
 			tt.view.Servers = all
 			tt.table.SetCatalog(tt.view, tt.now)
-			tt.observe("east-0", lovageyard.Notice{Leaving: true})
+			tt.observe("east-0", lovageyard.Backpressure{Leaving: true})
 			if test.unlistedFor > 0 {
 				tt.view.Servers = all[1:]
 				tt.table.SetCatalog(tt.view, tt.now)
 				tt.now = tt.now.Add(test.unlistedFor)
 			}
-			all[0].Life = test.incarnation
+			all[0].Incarnation = test.incarnation
 			tt.view.Servers = all
 			tt.table.SetCatalog(tt.view, tt.now)
 			tt.c.Assert(tt.choose("", "east-1").Refused, qt.Equals, !test.isUsed)
@@ -191,7 +191,7 @@
 	for _, named := range []bool{true, false} {
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
 			tt := newTestTable(t)
-			tt.observe("east-0", lovageyard.Notice{Backoff: 3 * time.Second})
+			tt.observe("east-0", lovageyard.Backpressure{Backoff: 3 * time.Second})
 			counts := tt.countSends(3*time.Second, named, nil)
 			tt.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
 			tt.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 150)
@@ -206,7 +206,7 @@
 	tt := newTestTable(t)
 	choice := tt.choose("k")
 	tt.c.Assert(tt.table.MaySend(choice, tt.now), qt.IsTrue)
-	tt.observe(choice.Server.Name, lovageyard.Notice{Backoff: time.Second})
+	tt.observe(choice.Server.Name, lovageyard.Backpressure{Backoff: time.Second})
 	tt.c.Assert(tt.table.MaySend(choice, tt.now), qt.IsFalse)
 	tt.c.Assert(tt.table.TakeResend(choice, tt.now), qt.IsFalse)
 	tt.c.Assert(tt.table.MaySend(choice, tt.now.Add(time.Second)), qt.IsTrue)
@@ -216,7 +216,7 @@
 func TestBackoffOfAllServersSetsRetryAfter(t *testing.T) {
 	tt := newTestTable(t)
 	for i, s := range tt.view.Servers {
-		tt.observe(s.Name, lovageyard.Notice{Backoff: time.Duration(3+i) * time.Second})
+		tt.observe(s.Name, lovageyard.Backpressure{Backoff: time.Duration(3+i) * time.Second})
 	}
 	refused := tt.choose("k")
 	tt.c.Assert(refused.Cause, qt.Equals, dispatch.CauseBackpressure)
@@ -231,9 +231,9 @@
 	for range 10 {
 		choice := tt.choose("k")
 		tt.c.Assert(choice.Server.Name, qt.Equals, home)
-		notice := lovageyard.Notice{Backoff: 100 * time.Millisecond}
+		notice := lovageyard.Backpressure{Backoff: 100 * time.Millisecond}
 		tt.observe(home, notice)
-		tt.finish(choice, dispatch.Outcome{Answered: true, Failed: true, NotRun: true, Meta: lovageyard.AnswerMeta{Notice: notice}})
+		tt.finish(choice, dispatch.Outcome{Answered: true, Failed: true, NotRun: true, Meta: lovageyard.ResponseMeta{Backpressure: notice}})
 		tt.now = tt.now.Add(100 * time.Millisecond)
 	}
 }
--- a/dispatch/splitter.go
+++ b/dispatch/split.go
@@ -9,7 +9,7 @@
 }
 
 // next returns the service of the next request.
-func (s *weightedSplitter) next(parts []lovageyard.Part) string {
+func (s *weightedSplitter) next(parts []lovageyard.ServiceWeight) string {
 	if len(parts) == 1 {
 		return parts[0].Service
 	}
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -93,7 +93,7 @@
 	// Abandoned means that the caller gave up before the server was late, so that the attempt says
 	// nothing about the server.
 	Abandoned bool
-	Meta      lovageyard.AnswerMeta
+	Meta      lovageyard.ResponseMeta
 	// DialTime is the time that a new connection took, or 0 if one was reused.
 	DialTime time.Duration
 }
@@ -240,7 +240,7 @@
 
 func (t *Table) setServer(listed catalog.Server, now time.Time) {
 	known := t.servers[listed.Name]
-	if known == nil || known.Life != listed.Life {
+	if known == nil || known.Incarnation != listed.Incarnation {
 		// A restarted server has lost its caches, its queue and its faults. Attempts at the
 		// previous incarnation keep a pointer to their own server record, which is no longer used
 		// for choices.
@@ -319,7 +319,7 @@
 		domain.recordSuccess()
 		s.answeredAt = o.At
 		s.busySince = o.At
-		if o.Meta.Notice.Backoff == 0 {
+		if o.Meta.Backpressure.Backoff == 0 {
 			// A server that has requested a backoff is not considered failing: it works normally
 			// once the backoff has ended.
 			s.updateFailureRate(o.Failed || o.NotRun)
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -17,7 +17,7 @@
 }
 
 // Observe takes in the notice of an answer; its request was sent at a time.
-func (o *Notices) Observe(s lovageyard.BackendServer, n lovageyard.Notice, sentAt time.Time) {
+func (o *Notices) Observe(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time) {
 	change := o.Dispatch.Observe(s, n, sentAt, o.Timer.Now())
 	log := o.Logger.WithField("server", s.Name)
 	if change.Leaving {
--- a/link/report.go
+++ b/link/report.go
@@ -25,8 +25,8 @@
 type LoadHeaderCodec struct{}
 
 // Answer returns what an answer says about itself.
-func (LoadHeaderCodec) Answer(r *http.Response) lovageyard.AnswerMeta {
-	var meta lovageyard.AnswerMeta
+func (LoadHeaderCodec) Answer(r *http.Response) lovageyard.ResponseMeta {
+	var meta lovageyard.ResponseMeta
 	meta.Load, meta.Reported = ReportOf(r.Header)
 	return meta
 }
