--- a/backpressure/bench_test.go
+++ b/backpressure/bench_test.go
@@ -8,7 +8,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-func BenchmarkLimitOfManyInstances(b *testing.B) {
+func BenchmarkObserveLimitWithManyInstances(b *testing.B) {
 	var names []string
 	for n := range 1400 {
 		names = append(names, fmt.Sprint("entry-", n))
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -11,49 +11,55 @@
 )
 
 const (
-	// limitShare is the part of a limit that is given out, as instances differ in how many of them they know.
+	// limitShare is the part of a limit that is used, as instances differ in how many others they
+	// know.
 	limitShare = 0.9
-	// Instances without a part of a limit try the server now and then, all of them together at trialShare of
-	// the limit and leastTrials a second more: only its answer tells them that it takes more again.
-	trialShare  = 0.1
-	leastTrials = 0.25
-	// trialSpan is how long a trial may wait for a request. Trials that are not made in time are left out: saved
-	// up, those of all instances could come at once.
-	trialSpan = 4 * time.Second
+	// Instances without a share of a limit probe the server now and then, all of them together at a
+	// rate of probeShare of the limit plus minProbeRate per second: only the response to a probe
+	// can report that the limit was lifted.
+	probeShare   = 0.1
+	minProbeRate = 0.25
+	// probeWindow is how long a probe may wait for a request. Probes that are not sent within the
+	// window are skipped; if they accumulated, those of all instances could coincide.
+	probeWindow = 4 * time.Second
 )
 
-// Record is what one life of a backend server has asked of this instance.
+// Record holds what one incarnation of a backend server has requested from this instance. It is not
+// safe for concurrent use.
 type Record struct {
 	self   string
 	server string
-	// instances are all that share the server's limits.
+	// instances are the names of all instances that share the server's limits.
 	instances []string
 
-	// leaving says that the server takes no new work any more in this life.
+	// leaving means that this incarnation accepts no further requests.
 	leaving bool
-	// backoffUntil is when the server takes requests from this instance again.
+	// backoffUntil is when the server accepts requests from this instance again.
 	backoffUntil time.Time
 
 	limited bool
 	limit   float64
-	// namedAt is when the limit was first named since it was lifted last, and heardAt when it was named last.
-	namedAt time.Time
-	heardAt time.Time
-	// rate is this instance's part of the limit in requests a second, or 0 if it has none, and
-	// allowance spends it.
-	rate      float64
-	allowance *grant.TokenBucket
-	// trialEvery is the time between two trials of an instance without a part; triedAt was the last one.
-	trialEvery time.Duration
-	triedAt    time.Time
-}
-
-// NewRecord returns the record of a server that has asked for nothing.
+	// limitedSince is when a limit was first reported after a time without one, and limitSeenAt
+	// when it was last reported.
+	limitedSince time.Time
+	limitSeenAt  time.Time
+	// share is this instance's share of the limit in requests per second, or 0 if it has none, and
+	// bucket spends it.
+	share  float64
+	bucket *grant.TokenBucket
+	// probeInterval is the time between two probes of an instance without a share, and lastProbe is
+	// when the last one was sent.
+	probeInterval time.Duration
+	lastProbe     time.Time
+}
+
+// NewRecord returns the record of a server that has requested nothing, for the instance named self.
 func NewRecord(self, server string, instances []string) *Record {
 	return &Record{self: self, server: server, instances: instances}
 }
 
-// SetInstances sets the names of all instances that may be at work.
+// SetInstances sets the names of all active instances and recomputes this instance's share of the
+// limit.
 func (r *Record) SetInstances(names []string, now time.Time) {
 	r.instances = names
 	if r.limited {
@@ -61,21 +67,23 @@
 	}
 }
 
-// Change says what an answer has changed of what is known of its server.
+// Change describes which parts of a record a response has changed.
 type Change struct {
 	Limit   bool
 	Leaving bool
-	// Backoff says that a backoff began which goes on.
+	// Backoff means that a backoff has begun; the extension of one that is in effect does not
+	// count.
 	Backoff bool
 }
 
-// Observe takes in what an answer says to a request that was sent at a time.
+// Observe applies the backpressure of a response to a request that was sent at sentAt, and returns
+// what has changed.
 func (r *Record) Observe(n lovageyard.Backpressure, sentAt, now time.Time) Change {
-	change := Change{Limit: r.hearLimit(n, sentAt, now), Leaving: n.Leaving && !r.leaving}
+	change := Change{Limit: r.observeLimit(n, sentAt, now), Leaving: n.Leaving && !r.leaving}
 	r.leaving = r.leaving || n.Leaving
 	if n.Backoff > 0 {
 		change.Backoff = !r.backoffUntil.After(now)
-		// An answer that was on its way does not cut short what another has asked for.
+		// A response that was sent earlier must not shorten the backoff that another has requested.
 		r.backoffUntil = later(r.backoffUntil, now.Add(n.Backoff))
 	}
 	return change
@@ -88,94 +96,98 @@
 	return b
 }
 
-// hearLimit takes in the limit of an answer, and says whether it has changed. An answer without a limit lifts it only
-// if its request was sent after the limit was named: answers may overtake each other.
-func (r *Record) hearLimit(n lovageyard.Backpressure, sentAt, now time.Time) bool {
+// observeLimit applies the limit of a response and reports whether the limit has changed. A
+// response without a limit lifts it only if its request was sent after the limit was last reported,
+// as responses may arrive out of order.
+func (r *Record) observeLimit(n lovageyard.Backpressure, sentAt, now time.Time) bool {
 	switch {
 	case n.Limited && r.limited && n.Limit == r.limit:
-		r.heardAt = now
+		r.limitSeenAt = now
 		return false
 	case n.Limited:
 		if !r.limited {
-			r.namedAt = now
-			r.allowance = grant.NewTokenBucket(0, now)
+			r.limitedSince = now
+			r.bucket = grant.NewTokenBucket(0, now)
 		}
-		r.limited, r.limit, r.heardAt = true, n.Limit, now
+		r.limited, r.limit, r.limitSeenAt = true, n.Limit, now
 		r.divide(now)
 		return true
-	case n.InvalidLimit, !r.limited, !sentAt.After(r.heardAt):
+	case n.InvalidLimit, !r.limited, !sentAt.After(r.limitSeenAt):
 		return false
 	}
 	r.limited, r.limit = false, 0
 	return true
 }
 
-// divide works out this instance's part of the limit.
+// divide recomputes this instance's share of the limit and its probe interval.
 func (r *Record) divide(now time.Time) {
-	r.rate = grant.ShareOf(limitShare*r.limit, r.instances, r.server, r.self)
-	r.allowance.SetRate(r.rate, now)
-	trials := trialShare*r.limit + leastTrials
-	r.trialEvery = max(trialSpan, time.Duration(float64(len(r.instances))/trials*float64(time.Second)))
+	r.share = grant.ShareOf(limitShare*r.limit, r.instances, r.server, r.self)
+	r.bucket.SetRate(r.share, now)
+	probeRate := probeShare*r.limit + minProbeRate
+	r.probeInterval = max(probeWindow, time.Duration(float64(len(r.instances))/probeRate*float64(time.Second)))
 }
 
-// Limit returns the limit that the server names, and whether it names any.
+// Limit returns the rate limit in requests per second, and whether the server has set one.
 func (r *Record) Limit() (float64, bool) {
 	return r.limit, r.limited
 }
 
-// Leaving says whether the server takes no new work any more.
+// Leaving reports whether the server has announced that it is shutting down.
 func (r *Record) Leaving() bool {
 	return r.leaving
 }
 
-// Allows says whether the server may get a request now.
+// Allows reports whether the server may get a request now.
 func (r *Record) Allows(now time.Time) bool {
 	until, ever := r.EarliestSend(now)
 	return ever && !until.After(now)
 }
 
-// RecordSend notes that a request is sent to the server.
+// RecordSend counts a request that is sent to the server against the limit.
 func (r *Record) RecordSend(now time.Time) {
-	if r.limited && !r.allowance.Take(now) {
-		r.triedAt = now
+	if r.limited && !r.bucket.Take(now) {
+		r.lastProbe = now
 	}
 }
 
-// Rejects says whether the server takes nothing now, whatever limit it names.
+// Rejects reports whether the server accepts no requests now because of a backoff or its shutdown,
+// whatever its rate limit.
 func (r *Record) Rejects(now time.Time) bool {
 	return r.leaving || now.Before(r.backoffUntil)
 }
 
-// EarliestSend returns when the server may get a request at the earliest, or false if it never will.
+// EarliestSend returns the earliest time at which the server may get a request, or false if this
+// incarnation accepts no more.
 func (r *Record) EarliestSend(now time.Time) (time.Time, bool) {
 	if r.leaving {
 		return time.Time{}, false
 	}
-	return later(r.backoffUntil, r.limitUntil(now)), true
+	return later(r.backoffUntil, r.limitAllowsAt(now)), true
 }
 
-// limitUntil returns when the limit allows a request at the earliest.
-func (r *Record) limitUntil(now time.Time) time.Time {
+// limitAllowsAt returns the earliest time at which the rate limit allows a request.
+func (r *Record) limitAllowsAt(now time.Time) time.Time {
 	switch {
 	case !r.limited:
 		return now
-	case r.rate > 0:
-		return now.Add(r.allowance.Wait(now))
+	case r.share > 0:
+		return now.Add(r.bucket.Wait(now))
 	}
-	return r.nextTrial(now)
+	return r.nextProbe(now)
 }
 
-// nextTrial returns when the next trial may begin. The trials of instances are spread evenly over time, and none is made
-// soon after the limit was named: instances that are restarted again and again would make one each time.
-func (r *Record) nextTrial(now time.Time) time.Time {
+// nextProbe returns when the next probe may be sent. The probes of all instances are spread evenly
+// over time, and none is sent soon after the limit was first reported: otherwise instances that
+// restart repeatedly would each send one after every restart.
+func (r *Record) nextProbe(now time.Time) time.Time {
 	phase := float64(instance.Mix(xxhash.Sum64String(r.self)^xxhash.Sum64String(r.server))>>11) / (1 << 53)
-	since := now.Sub(r.namedAt) - time.Duration((0.5+phase)*float64(r.trialEvery))
+	since := now.Sub(r.limitedSince) - time.Duration((0.5+phase)*float64(r.probeInterval))
 	if since < 0 {
 		return now.Add(-since)
 	}
-	began := now.Add(-(since % r.trialEvery))
-	if now.Sub(began) < trialSpan && r.triedAt.Before(began) {
+	began := now.Add(-(since % r.probeInterval))
+	if now.Sub(began) < probeWindow && r.lastProbe.Before(began) {
 		return now
 	}
-	return began.Add(r.trialEvery)
+	return began.Add(r.probeInterval)
 }
--- a/backpressure/record_test.go
+++ b/backpressure/record_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Unix(1000, 0)
 
-// fleet is the records that instances keep of one server.
-type fleet struct {
+// testFleet holds the records that several instances keep of one server.
+type testFleet struct {
 	names   []string
 	records []*Record
 	limit   float64
@@ -22,8 +22,8 @@
 	sends   []time.Time
 }
 
-func newFleet(count int) *fleet {
-	f := &fleet{}
+func newTestFleet(count int) *testFleet {
+	f := &testFleet{}
 	for n := range count {
 		f.names = append(f.names, fmt.Sprint("entry-", n))
 	}
@@ -33,8 +33,8 @@
 	return f
 }
 
-// ask has an instance send a request if its record allows it, which is answered at once.
-func (f *fleet) ask(n int, now time.Time) bool {
+// trySend sends a request of an instance if its record allows it, which is answered immediately.
+func (f *testFleet) trySend(n int, now time.Time) bool {
 	r := f.records[n]
 	if !r.Allows(now) {
 		return false
@@ -45,8 +45,8 @@
 	return true
 }
 
-// most returns the largest number of sends in any window, from a moment on.
-func (f *fleet) most(from time.Time, window time.Duration) int {
+// maxSends returns the largest number of sends in any window that begins after a given time.
+func (f *testFleet) maxSends(from time.Time, window time.Duration) int {
 	largest := 0
 	for i, first := range f.sends {
 		if first.Before(from) {
@@ -61,40 +61,41 @@
 	return largest
 }
 
-// Whatever the size of the fleet, its instances together stay within what a server allows once each has heard of
-// it, also when all have been idle and are asked at once, and use most of it while each is asked for more than its part.
+// Whatever the size of the fleet, its instances together must stay within the server's limit once
+// each has observed it, also when all of them get requests simultaneously after they were idle.
+// They must use most of the limit while each gets more requests than its share.
 func TestLimitHoldsOverAllInstances(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 12, 68, 300, 1400} {
 		for _, limit := range []float64{0, 0.5, 1, 4.5, 6.6, 30, 400} {
 			t.Run(fmt.Sprint(count, " instances, ", limit), func(t *testing.T) {
 				t.Parallel()
 				c := qt.New(t)
-				f := newFleet(count)
+				f := newTestFleet(count)
 				f.limit, f.limited = limit, true
 				random := rand.New(rand.NewPCG(uint64(count), uint64(10*limit)))
 				for n := range count {
-					f.ask(n, start)
+					f.trySend(n, start)
 				}
 				each := 1 + int(limit/float64(count))
-				told := start.Add(500 * time.Millisecond)
+				observed := start.Add(500 * time.Millisecond)
 				for tick := range 10 * 200 {
-					now := told.Add(time.Duration(tick) * 100 * time.Millisecond)
-					if quiet := tick/300%3 == 1; quiet {
+					now := observed.Add(time.Duration(tick) * 100 * time.Millisecond)
+					if idle := tick/300%3 == 1; idle {
 						continue
 					}
 					for n := range count {
 						for range random.IntN(2 * each) {
-							f.ask(n, now)
+							f.trySend(n, now)
 						}
 					}
 					if tick/300%3 == 2 && tick%300 < 3 {
 						for n := range count {
-							f.ask(n, now)
+							f.trySend(n, now)
 						}
 					}
 				}
 				allowed := int(1.5*4*limit + 5)
-				got := f.most(told, 4*time.Second)
+				got := f.maxSends(observed, 4*time.Second)
 				c.Assert(got <= allowed, qt.IsTrue, qt.Commentf("%d in 4 s, allowed %d", got, allowed))
 				if limit >= 1 {
 					c.Assert(float64(len(f.sends)-count) >= 0.7*limit*130, qt.IsTrue, qt.Commentf("%d in 130 s", len(f.sends)-count))
@@ -104,7 +105,8 @@
 	}
 }
 
-// Once a server names its limit no longer, each instance learns so within a time that grows with the fleet.
+// After a server has lifted its limit, each instance must observe that within a time that grows
+// with the size of the fleet.
 func TestLiftedLimitIsForgotten(t *testing.T) {
 	for _, test := range []struct {
 		count  int
@@ -118,27 +120,27 @@
 	} {
 		t.Run(fmt.Sprint(test.count, " instances, ", test.limit), func(t *testing.T) {
 			c := qt.New(t)
-			f := newFleet(test.count)
+			f := newTestFleet(test.count)
 			f.limit, f.limited = test.limit, true
 			for n := range test.count {
-				f.ask(n, start)
+				f.trySend(n, start)
 			}
 			f.limited = false
 			end := start.Add(test.within)
 			for now := start; now.Before(end); now = now.Add(100 * time.Millisecond) {
 				for n := range test.count {
-					f.ask(n, now.Add(time.Millisecond))
+					f.trySend(n, now.Add(time.Millisecond))
 				}
 			}
 			for n := range test.count {
-				c.Check(f.records[n].Allows(end) && f.ask(n, end), qt.IsTrue, qt.Commentf("%s", f.names[n]))
+				c.Check(f.records[n].Allows(end) && f.trySend(n, end), qt.IsTrue, qt.Commentf("%s", f.names[n]))
 			}
 		})
 	}
 }
 
-// An answer that was on its way when the limit was named does not lift it, nor does one that can't be read.
-func TestOlderAnswerDoesNotLiftALimit(t *testing.T) {
+// A response to an earlier request must not lift the limit, nor must one that could not be parsed.
+func TestOlderResponseDoesNotLiftLimit(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -153,27 +155,29 @@
 	c.Assert(r.Allows(at(30)), qt.IsTrue)
 }
 
-// What is told to callers is when a request is allowed indeed.
-func TestUntilIsTrue(t *testing.T) {
+// The time returned by EarliestSend is used as a client's retry delay, so a request must be allowed
+// at that time.
+func TestEarliestSendIsAllowed(t *testing.T) {
 	for _, count := range []int{1, 12, 68} {
 		c := qt.New(t)
-		f := newFleet(count)
+		f := newTestFleet(count)
 		f.limit, f.limited = 3, true
 		for n := range count {
-			f.ask(n, start)
+			f.trySend(n, start)
 			now := start
 			for range 5 {
 				until, _ := f.records[n].EarliestSend(now)
 				c.Assert(f.records[n].Allows(until), qt.IsTrue)
-				f.ask(n, until)
+				f.trySend(n, until)
 				now = until
 			}
 		}
 	}
 }
 
-// A server that has said that it leaves stays left alone in this life, whatever later answers say.
-func TestLeavingLasts(t *testing.T) {
+// A server that has announced its shutdown must get no requests during this incarnation, whatever
+// later responses report.
+func TestLeavingIsPermanent(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
 	c.Assert(r.Observe(lovageyard.Backpressure{Leaving: true}, start, start).Leaving, qt.IsTrue)
@@ -183,8 +187,9 @@
 	c.Assert(ever, qt.IsFalse)
 }
 
-// A backoff lasts as long as the longest answer asked for, and the instance sends again when it is over.
-func TestBackoffLasts(t *testing.T) {
+// A backoff must last as long as the longest one requested, and requests must be allowed when it
+// ends.
+func TestLongestBackoffHolds(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecord("entry", "server", []string{"entry"})
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/dispatch/notice_test.go
+++ b/dispatch/notice_test.go
@@ -29,9 +29,9 @@
 
 // countSends sends requests at short intervals, for many objects or for none, and returns how many
 // each server gets.
-func (tt *testTable) countSends(span time.Duration, named bool, notice map[string]lovageyard.Backpressure) map[string]int {
+func (tt *testTable) countSends(period time.Duration, named bool, notice map[string]lovageyard.Backpressure) map[string]int {
 	counts := make(map[string]int)
-	for end := tt.now.Add(span); tt.now.Before(end); tt.now = tt.now.Add(20 * time.Millisecond) {
+	for end := tt.now.Add(period); tt.now.Before(end); tt.now = tt.now.Add(20 * time.Millisecond) {
 		key := ""
 		if named {
 			key = fmt.Sprint(tt.now.UnixNano())
--- a/grant/divide.go
+++ b/grant/divide.go
@@ -7,25 +7,27 @@
 	"lovageyard.example/lovageyard/instance"
 )
 
-// ServiceLoad is what one service of a site can carry beyond its present load.
+// ServiceLoad is the capacity and the present load of one service at a site.
 type ServiceLoad struct {
 	Service string
 	Site    string
-	// Capacity and Load are in requests a second.
+	// Capacity and Load are in requests per second.
 	Capacity float64
 	Load     float64
-	// Measured says that the load was measured recently; an unknown one spares nothing.
+	// Measured means that the load was measured recently; without that no capacity is considered
+	// spare.
 	Measured bool
 }
 
-// Divide returns equal grants for the holders, whose sum is at most the spare capacity.
-func Divide(spares []ServiceLoad, holders []string) lovageyard.GrantPlan {
+// Divide returns equal grants for the holders, whose sum is at most the spare capacity of each
+// service and site.
+func Divide(loads []ServiceLoad, holders []string) lovageyard.GrantPlan {
 	p := lovageyard.GrantPlan{Holders: slices.Clone(holders)}
 	slices.Sort(p.Holders)
 	if len(holders) == 0 {
 		return p
 	}
-	for _, s := range spares {
+	for _, s := range loads {
 		spare := s.Capacity - s.Load
 		if !s.Measured || spare <= 0 {
 			continue
@@ -39,7 +41,8 @@
 	return p
 }
 
-// Rate returns what a holder may send to a service of a site, in requests a second.
+// Rate returns the rate in requests per second that a holder may send to a service at a site, or 0
+// if it has no grant.
 func Rate(p lovageyard.GrantPlan, holder, service, site string) float64 {
 	if _, found := slices.BinarySearch(p.Holders, holder); !found {
 		return 0
@@ -52,8 +55,8 @@
 	return 0
 }
 
-// Differs says whether two plans have other holders or grants that differ by more than
-// a relative tolerance.
+// Differs reports whether two plans have different holders, or grants that differ by more than a
+// relative tolerance. It tells whether a new plan is worth publishing.
 func Differs(a, b lovageyard.GrantPlan, tolerance float64) bool {
 	if !slices.Equal(a.Holders, b.Holders) || len(a.Grants) != len(b.Grants) {
 		return true
@@ -70,12 +73,13 @@
 	return false
 }
 
-// ShareOf returns what one of those who share a rate by a key may send, in requests a second. The rate is divided
-// among a few holders, on which all agree: no holder's part is far below one request a second, as smaller parts would be
-// saved up and spent by many in the same second. Who is no holder gets nothing.
+// ShareOf returns the share of a rate, in requests per second, that one of several instances may
+// use. The rate is divided among the first few instances in the order of a key, on which all agree.
+// Their number is limited so that no share is far below one request per second, as smaller shares
+// would accumulate and be spent by many instances in the same second. The other instances get 0.
 func ShareOf(rate float64, names []string, key, self string) float64 {
 	count := min(len(names), 1+int(min(rate, float64(len(names)))))
-	if place := instance.Place(names, key, self); place < 0 || place >= count {
+	if position := instance.Place(names, key, self); position < 0 || position >= count {
 		return 0
 	}
 	return rate / float64(count)
--- a/grant/grant_test.go
+++ b/grant/grant_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestDivideNeverGrantsMoreThanTheSpare(t *testing.T) {
+func TestDivideGrantsAtMostSpareCapacity(t *testing.T) {
 	c := qt.New(t)
 	holders := []string{"c", "a", "b"}
 	p := Divide([]ServiceLoad{
@@ -33,8 +33,9 @@
 	c.Assert(Divide(nil, nil).Grants, qt.HasLen, 0)
 }
 
-// Those who share a rate agree on the parts without a word, and no part is so small that it would be saved up for long.
-func TestPartsOfARate(t *testing.T) {
+// The shares of all instances must add up to the rate without communication, and no share may be so
+// small that it would accumulate for long.
+func TestSharesOfRate(t *testing.T) {
 	for _, rate := range []float64{0, 0.3, 1, 4.5, 100} {
 		for _, count := range []int{1, 12, 300} {
 			c := qt.New(t)
@@ -44,9 +45,9 @@
 			}
 			sum := 0.0
 			for _, name := range names {
-				part := ShareOf(rate, names, "server", name)
-				sum += part
-				c.Check(part == 0 || part >= min(rate, 0.5) || part >= rate/float64(count), qt.IsTrue, qt.Commentf("%v", part))
+				share := ShareOf(rate, names, "server", name)
+				sum += share
+				c.Check(share == 0 || share >= min(rate, 0.5) || share >= rate/float64(count), qt.IsTrue, qt.Commentf("%v", share))
 			}
 			c.Check(sum <= rate*(1+1e-9) && sum >= rate*(1-1e-9), qt.IsTrue, qt.Commentf("%v of %v", sum, rate))
 			c.Check(ShareOf(rate, names, "server", "stranger"), qt.Equals, 0.0)
@@ -54,7 +55,7 @@
 	}
 }
 
-func TestAllowanceTellsWhenItAllows(t *testing.T) {
+func TestTokenBucketWait(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	a := NewTokenBucket(0.7, now)
@@ -69,7 +70,7 @@
 	c.Assert(a.Wait(now) > time.Hour, qt.IsTrue)
 }
 
-func TestAllowanceSpendsItsRate(t *testing.T) {
+func TestTokenBucketKeepsRate(t *testing.T) {
 	for _, rate := range []float64{0, 0.5, 3, 1000} {
 		c := qt.New(t)
 		now := time.Unix(1000, 0)
