--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -16,15 +16,15 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// ports answers probes: a server has ended from the probe of a number on, or never if that is 0.
+// ports is a Prober whose servers refuse connections from the given probe on, or never if that is 0.
 type ports struct {
-	endsAt int64
-	probes atomic.Int64
+	crashAt int64
+	probes  atomic.Int64
 }
 
 func (p *ports) RefusesConnections(context.Context, lovageyard.BackendServer) bool {
 	n := p.probes.Add(1)
-	return p.endsAt > 0 && n >= p.endsAt
+	return p.crashAt > 0 && n >= p.crashAt
 }
 
 func newWatch(c *qt.C, p *ports) *quarantine.Monitor {
@@ -35,49 +35,51 @@
 	return w
 }
 
-func until(c *qt.C, what string, holds func() bool) {
-	for end := time.Now().Add(time.Minute); !holds(); time.Sleep(time.Millisecond) {
+func eventually(c *qt.C, condition string, reached func() bool) {
+	for end := time.Now().Add(time.Minute); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			c.Fatalf("not reached: %s", what)
+			c.Fatalf("timed out waiting until %s", condition)
 		}
 	}
 }
 
-// A server's connections may be closed a moment before its port is.
+// A crashing server may close its connections shortly before its listening port, so that the first probe still
+// succeeds.
 func TestServerIsProbedAgain(t *testing.T) {
 	c := qt.New(t)
-	p := &ports{endsAt: 2}
+	p := &ports{crashAt: 2}
 	w := newWatch(c, p)
-	w.RecordLoss(lovageyard.BackendServer{Name: "server"}, deadly, time.Now())
-	until(c, "the request is a suspect", func() bool { return w.Evaluate(deadly).Suspect })
+	w.RecordLoss(lovageyard.BackendServer{Name: "server"}, poison, time.Now())
+	eventually(c, "the request is a suspect", func() bool { return w.Evaluate(poison).Suspect })
 	<-w.Updates()
 }
 
-// A server that goes on is probed a few times for all the requests that it broke off at once.
-func TestServerThatGoesOnIsProbedAFewTimes(t *testing.T) {
+// A server that is still running is probed only a few times, however many connections it closed at the same
+// time.
+func TestRunningServerIsProbedAFewTimes(t *testing.T) {
 	c := qt.New(t)
 	p := &ports{}
 	w := newWatch(c, p)
 	for request := range uint64(50) {
 		w.RecordLoss(lovageyard.BackendServer{Name: "server"}, request, time.Now())
 	}
-	until(c, "two probes", func() bool { return p.probes.Load() == 2 })
-	c.Assert(w.Evaluate(deadly), qt.Equals, quarantine.Decision{})
+	eventually(c, "two probes", func() bool { return p.probes.Load() == 2 })
+	c.Assert(w.Evaluate(poison), qt.Equals, quarantine.Decision{})
 }
 
-// What was there is told only by what this instance saw itself; word of others is not found here.
-func TestFoundAreThoseThatWereSeenHere(t *testing.T) {
+// Only the observations of this instance count as newly quarantined, not the reports of others.
+func TestOnlyLocalObservationsAreNewlyQuarantined(t *testing.T) {
 	c := qt.New(t)
-	seen, told := newWatch(c, &ports{endsAt: 1}), newWatch(c, &ports{})
+	observer, receiver := newWatch(c, &ports{crashAt: 1}), newWatch(c, &ports{})
 	for _, name := range []string{"1", "2", "3"} {
 		server := lovageyard.BackendServer{Name: name}
 		time.Sleep(2 * time.Millisecond)
-		seen.RecordLoss(server, deadly, time.Now())
-		seen.RecordCrash(server)
+		observer.RecordLoss(server, poison, time.Now())
+		observer.RecordCrash(server)
 	}
-	c.Assert(told.Merge(seen.ReportFor(deadly)), qt.IsTrue)
-	c.Assert(told.Evaluate(deadly).Quarantined, qt.IsTrue)
-	c.Assert(seen.NewlyQuarantined(), qt.DeepEquals, []uint64{deadly})
-	c.Assert(seen.NewlyQuarantined(), qt.HasLen, 0)
-	c.Assert(told.NewlyQuarantined(), qt.HasLen, 0)
+	c.Assert(receiver.Merge(observer.ReportFor(poison)), qt.IsTrue)
+	c.Assert(receiver.Evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(observer.NewlyQuarantined(), qt.DeepEquals, []uint64{poison})
+	c.Assert(observer.NewlyQuarantined(), qt.HasLen, 0)
+	c.Assert(receiver.NewlyQuarantined(), qt.HasLen, 0)
 }
