--- a/control/control.go
+++ b/control/control.go
@@ -63,13 +63,13 @@
 	Logger    *logrus.Logger
 	Metrics   metrics.Registry
 	// SeedPeers are addresses of peers to ask when the platform can't be reached.
-	SeedPeers []string
-	KeepFor   time.Duration
-	Headroom  float64
-	Pool      server.Settings
-	Latencies placement.Latencies
-	LeaseSpan time.Duration
-	Seed      uint64
+	SeedPeers     []string
+	KeepFor       time.Duration
+	Headroom      float64
+	Pool          server.Settings
+	Latencies     placement.Latencies
+	LeaseDuration time.Duration
+	Seed          uint64
 }
 
 // Control runs the control loop of one entry instance.
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -166,10 +166,10 @@
 	c := New(Settings{
 		Self: self, Table: p, Objects: p, Instances: p, Backend: p, Peers: p, Timer: y.clock, Recorder: p,
 		Logger: logger, Metrics: metrics.NewRegistry(), KeepFor: time.Second, Headroom: 0.2,
-		SeedPeers: []string{"a1-1", "a1-2"},
-		Pool:      server.Settings{Mode: server.Shared, QueuePerSlot: 1},
-		Latencies: placement.Latencies{SameRegion: time.Millisecond, Else: 10 * time.Millisecond},
-		LeaseSpan: 6 * time.Second, Seed: uint64(life),
+		SeedPeers:     []string{"a1-1", "a1-2"},
+		Pool:          server.Settings{Mode: server.Shared, QueuePerSlot: 1},
+		Latencies:     placement.Latencies{SameRegion: time.Millisecond, Else: 10 * time.Millisecond},
+		LeaseDuration: 6 * time.Second, Seed: uint64(life),
 	})
 	y.mu.Lock()
 	y.controls[name] = c
@@ -268,7 +268,7 @@
 	for _, name := range names {
 		placed := false
 		for _, m := range y.status(name).Moves {
-			placed = placed || m.Class == class && m.Step > 0 && m.StepHere == m.Step
+			placed = placed || m.Class == class && m.Step > 0 && m.LocalStep == m.Step
 		}
 		if !placed {
 			return false
@@ -430,7 +430,7 @@
 	y.controls["a1-1"].ServerLeaving("desk", "a1", "a1-desk")
 	took := y.until("no new work", func() bool {
 		for _, name := range []string{"a1-1", "a1-2", "a1-3"} {
-			if y.status(name).Pools[0].Takers != 0 {
+			if y.status(name).Pools[0].Available != 0 {
 				return false
 			}
 		}
@@ -452,7 +452,7 @@
 	y.until("probes lift the suspicion", func() bool {
 		for _, name := range everyone {
 			for _, p := range y.status(name).Pools {
-				if p.Takers == 0 {
+				if p.Available == 0 {
 					return false
 				}
 			}
--- a/control/planner.go
+++ b/control/planner.go
@@ -76,7 +76,7 @@
 	}
 	p := c.planners[service]
 	if p == nil {
-		p = &planner{lease: lease.New(c.settings.Table, "planner-"+service, leaseHolder(c.settings.Self), c.self.PeerAddress, c.settings.LeaseSpan)}
+		p = &planner{lease: lease.New(c.settings.Table, "planner-"+service, leaseHolder(c.settings.Self), c.self.PeerAddress, c.settings.LeaseDuration)}
 		c.planners[service] = p
 	}
 	v := c.view(now)
--- a/control/status.go
+++ b/control/status.go
@@ -75,14 +75,14 @@
 	for _, k := range c.sortedPools() {
 		census := c.pools[k].Census(now)
 		s.Pools = append(s.Pools, operator.PoolStatus{
-			Service:  k.service,
-			Site:     k.site,
-			Servers:  census.Servers,
-			Takers:   census.Takers,
-			Slots:    census.Slots,
-			InFlight: census.InFlight,
-			Queued:   census.Queued,
-			MeanMs:   float64(census.Mean.Microseconds()) / 1000,
+			Service:   k.service,
+			Site:      k.site,
+			Servers:   census.Servers,
+			Available: census.Takers,
+			Slots:     census.Slots,
+			InFlight:  census.InFlight,
+			Queued:    census.Queued,
+			MeanMs:    float64(census.Mean.Microseconds()) / 1000,
 		})
 	}
 	return s
@@ -101,12 +101,12 @@
 func (c *Control) moveStatus(w *work) operator.MoveStatus {
 	settled, remaining := w.stepper.Settled(w.demand())
 	m := operator.MoveStatus{
-		Class:    w.class.Name,
-		Step:     w.plan.Step,
-		StepHere: settled,
-		LeftHere: remaining,
+		Class:          w.class.Name,
+		Step:           w.plan.Step,
+		LocalStep:      settled,
+		LocalRemaining: remaining,
 	}
-	m.StepReached, m.Move.Remaining = c.reached(w.class.Name)
+	m.ReachedStep, m.Move.Remaining = c.reached(w.class.Name)
 	if w.plan.Move != nil {
 		remaining := m.Move.Remaining
 		m.Move = *w.plan.Move
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -81,10 +81,10 @@
 // spendRepeat takes one repeat from the budget that all instances share, if it has room.
 func (x *exchange) spendRepeat() bool {
 	if x.handler.Dispatch.MayRepeat(x.service, x.handler.Timer.Now()) {
-		x.handler.Metrics.Count(meter.Repeats, x.label())
+		x.handler.Metrics.Count(meter.Retries, x.label())
 		return true
 	}
-	x.handler.Metrics.Count(meter.RepeatsDenied, x.label())
+	x.handler.Metrics.Count(meter.RetriesDenied, x.label())
 	return false
 }
 
--- a/entry/lookup.go
+++ b/entry/lookup.go
@@ -26,16 +26,16 @@
 		http.NotFound(w, r)
 		return
 	}
-	query := platform.LookUpQueryOf(r.URL.Query())
+	query := platform.ParseLookUpQuery(r.URL.Query())
 	view := d.Source.View()
 	if !view.Ready {
 		// The client asks the next instance, which knows better where to connect.
 		http.Error(w, "this instance is not ready", http.StatusServiceUnavailable)
 		return
 	}
-	answer := platform.LookUpAnswer{
-		Addresses: addresses(view, query.Region),
-		Seconds:   d.KeepFor.Seconds(),
+	answer := platform.LookUpResponse{
+		Addresses:  addresses(view, query.Region),
+		TTLSeconds: d.KeepFor.Seconds(),
 	}
 	if len(answer.Addresses) == 0 {
 		http.Error(w, "no entry instance is known to be alive", http.StatusServiceUnavailable)
--- a/fleet/confirm_test.go
+++ b/fleet/confirm_test.go
@@ -65,11 +65,11 @@
 	defer g.stop("entry-0")
 	defer g.stop("entry-1")
 	g.untilConfirmedSince(second, time.Now())
-	g.store.SetTrouble(fake.Trouble{Status: 503})
+	g.store.SetFaults(fake.StoreFaults{Status: 503})
 	for _, control := range []*fleet.Control{first, second} {
 		g.until("old knowledge", func() bool { return control.KnowledgeAge() > time.Second })
 	}
-	g.store.SetTrouble(fake.Trouble{})
+	g.store.SetFaults(fake.StoreFaults{})
 	back := time.Now()
 	for _, control := range []*fleet.Control{first, second} {
 		g.untilConfirmedSince(control, back)
--- a/fleet/feed.go
+++ b/fleet/feed.go
@@ -238,7 +238,7 @@
 		if errors.As(f.Err, &wrong) && wrong.Field != "" {
 			field = wrong.Field
 		}
-		c.settings.Metrics.Count(meter.RowsPassedOver, f.Row.Table, field)
+		c.settings.Metrics.Count(meter.RowsSkipped, f.Row.Table, field)
 		c.settings.Logger.WithFields(logrus.Fields{
 			"table":       f.Row.Table,
 			"key":         f.Row.Key,
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -228,7 +228,7 @@
 	// change ends all calls.
 	next := uint64(2)
 	change := func() int {
-		before := g.store.Watches()
+		before := g.store.WatchCalls()
 		g.store.PutConfiguration(lovageyard.Configuration{Version: next})
 		for _, control := range controls {
 			g.until("the change", func() bool { return version(control) == next })
@@ -236,7 +236,7 @@
 		next++
 		// Longer than the pauses between calls, so that all that watch have called again.
 		time.Sleep(1500 * time.Millisecond)
-		return g.store.Watches() - before
+		return g.store.WatchCalls() - before
 	}
 	g.until("few calls for a change", func() bool {
 		calls := change()
@@ -288,10 +288,10 @@
 	defer g.stop("entry-0")
 	g.store.PutServer(lovageyard.BackendServer{Name: "i-1", Service: "desk", Address: "127.0.0.1:9", Slots: 4, State: lovageyard.StateLive})
 	g.until("the server", func() bool { return len(control.View().Servers) == 1 })
-	g.store.SetTrouble(fake.Trouble{Status: 503})
+	g.store.SetFaults(fake.StoreFaults{Status: 503})
 	g.store.Drain("north-9")
-	g.store.Forget()
-	g.store.SetTrouble(fake.Trouble{})
+	g.store.DropHistory()
+	g.store.SetFaults(fake.StoreFaults{})
 	g.until("the drain", func() bool { return control.View().Drained["north-9"] })
 	g.c.Assert(control.View().Servers, qt.HasLen, 1)
 }
@@ -323,7 +323,7 @@
 	g.store.PutServer(good("i-1", 4))
 	g.store.PutServer(good("i-2", 4))
 	untilServers("both", "i-1", "i-2")
-	reads := g.store.Lists()
+	reads := g.store.PageReads()
 	g.store.Put("servers", "i-1", []any{"not an entry"})
 	untilServers("without the one that can't be read", "i-2")
 	g.store.PutServer(good("i-3", 4))
@@ -333,7 +333,7 @@
 	g.store.PutServer(good("i-2", -4))
 	untilServers("without the one with slots below 0", "i-1", "i-3")
 	// No table was read again for it.
-	g.c.Assert(g.store.Lists(), qt.Equals, reads)
+	g.c.Assert(g.store.PageReads(), qt.Equals, reads)
 }
 
 // The age of a change is told by the instance that hears of it from another one, too.
--- a/fleet/silence_test.go
+++ b/fleet/silence_test.go
@@ -145,7 +145,7 @@
 		return true
 	})
 	relays := instance.ChooseRelays(g.network.instances["entry-0:2"].View().Live, "north-1")
-	g.store.SetTrouble(fake.Trouble{Status: 503})
+	g.store.SetFaults(fake.StoreFaults{Status: 503})
 	before := make(map[string]int64)
 	for name, feed := range feeds {
 		before[name] = feed.calls.Load()
@@ -164,7 +164,7 @@
 			g.c.Check(made < enough/2, qt.IsTrue, qt.Commentf("%s made %d calls", name, made))
 		}
 	}
-	g.store.SetTrouble(fake.Trouble{})
+	g.store.SetFaults(fake.StoreFaults{})
 	g.store.Drain("north-9")
 	for name, control := range g.network.instances {
 		g.until("the change at "+name, func() bool { return control.View().Drained["north-9"] })
--- a/integration/accounts_test.go
+++ b/integration/accounts_test.go
@@ -29,7 +29,7 @@
 }
 
 // Identified notes one request.
-func (o *callers) Identified(_, _, account string, showsKey bool) {
+func (o *callers) AccountSeen(_, _, account string, showsKey bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.accounts[account]++
@@ -56,7 +56,7 @@
 	request, err := http.NewRequest(http.MethodGet, "http://"+e.address+keyedPath, nil)
 	e.c.Assert(err, qt.IsNil)
 	request.Host = edgeHost
-	fake.SetHeaders(request.Header, id, id, 30*time.Second)
+	fake.SetRequestHeaders(request.Header, id, id, 30*time.Second)
 	request.Header.Set("X-Tenant", "forged")
 	if account != "" {
 		fake.SetKey(request.Header, fake.KeysOf(account)[0])
@@ -103,7 +103,7 @@
 // all, and goes on once it knows.
 func TestKeyTakenAwayBehindASilenceRunsNothing(t *testing.T) {
 	e, told := newAccountEdge(t)
-	e.store.SetTrouble(fake.Trouble{Silent: true})
+	e.store.SetFaults(fake.StoreFaults{Hang: true})
 	e.configureAccounts(3, lovageyard.Account{Name: "b"})
 	e.until("keys are refused", func() bool { return e.askAs("a", "second") == http.StatusServiceUnavailable })
 	told.mu.Lock()
@@ -114,7 +114,7 @@
 			e.c.Assert(e.askAs(account, fmt.Sprint("later-", n)), qt.Equals, http.StatusServiceUnavailable)
 		}
 	}
-	e.store.SetTrouble(fake.Trouble{})
+	e.store.SetFaults(fake.StoreFaults{})
 	e.until("the other key is served", func() bool { return e.askAs("b", "third") == http.StatusOK })
 	e.c.Assert(e.askAs("a", "fourth"), qt.Equals, http.StatusUnauthorized)
 	told.mu.Lock()
--- a/integration/backpressure_test.go
+++ b/integration/backpressure_test.go
@@ -26,7 +26,7 @@
 	a.at[server] = append(a.at[server], time.Now())
 }
 
-func (a *arrivals) Ran(string, string) {}
+func (a *arrivals) Started(string, string) {}
 
 // since returns the arrivals at a server later than a moment.
 func (a *arrivals) since(server string, from time.Time) []time.Time {
--- a/integration/deadly_test.go
+++ b/integration/deadly_test.go
@@ -72,7 +72,7 @@
 	}, frailWork, observer{})
 	f.c.Assert(err, qt.IsNil)
 	f.c.Cleanup(server.Close)
-	server.SetDeadly(frailPrefix+"deadly", func(string) {
+	server.SetCrashPrefix(frailPrefix+"deadly", func(string) {
 		f.mu.Lock()
 		f.ended++
 		f.mu.Unlock()
@@ -97,7 +97,7 @@
 	request, err := http.NewRequest(http.MethodGet, "http://"+e.address+path, strings.NewReader(""))
 	f.c.Check(err, qt.IsNil)
 	request.Host = edgeHost
-	fake.SetHeaders(request.Header, fmt.Sprint("attempt-", number), "object", 10*time.Second)
+	fake.SetRequestHeaders(request.Header, fmt.Sprint("attempt-", number), "object", 10*time.Second)
 	// Each attempt comes from another address.
 	from := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(number))}}
 	transport := &http.Transport{DialContext: from.DialContext, DisableKeepAlives: true}
--- a/integration/edge_test.go
+++ b/integration/edge_test.go
@@ -42,7 +42,7 @@
 type observer struct{}
 
 func (observer) Arrived(string, string) {}
-func (observer) Ran(string, string)     {}
+func (observer) Started(string, string) {}
 
 // edge is an entry instance as a process, on a stand-in store with two backend servers.
 type edge struct {
@@ -186,7 +186,7 @@
 	request, err := http.NewRequest(method, "http://"+e.address+path, strings.NewReader(body))
 	e.c.Assert(err, qt.IsNil)
 	request.Host = edgeHost
-	fake.SetHeaders(request.Header, id, id, 30*time.Second)
+	fake.SetRequestHeaders(request.Header, id, id, 30*time.Second)
 	response, err := http.DefaultClient.Do(request)
 	e.c.Assert(err, qt.IsNil)
 	defer response.Body.Close()
@@ -229,10 +229,10 @@
 		{"no-server", fake.Faults{}, http.MethodGet, nonePrefix, "", 503, "no server of the service"},
 		{"timeout", fake.Faults{}, http.MethodGet, slowPrefix, "", 504, "deadline exceeded"},
 		{"failed", fake.Faults{Fail: 1}, http.MethodGet, lookUpPrefix, "", 500, "the server answered 500"},
-		{"shed", fake.Faults{Shed: 1}, http.MethodPost, chargePrefix, "b", 503, "the server answered 503"},
-		{"lost-charge", fake.Faults{Lose: 1}, http.MethodPost, chargePrefix, "b", 502, "verdict may-have-run"},
-		{"spoiled", fake.Faults{Spoil: 1}, http.MethodPost, chargePrefix, "b", 502, "the answer broke off"},
-		{"lost", fake.Faults{Lose: 1}, http.MethodGet, lookUpPrefix, "", 502, "repeated after"},
+		{"shed", fake.Faults{Reject: 1}, http.MethodPost, chargePrefix, "b", 503, "the server answered 503"},
+		{"lost-charge", fake.Faults{DropConnection: 1}, http.MethodPost, chargePrefix, "b", 502, "verdict may-have-run"},
+		{"spoiled", fake.Faults{Truncate: 1}, http.MethodPost, chargePrefix, "b", 502, "the answer broke off"},
+		{"lost", fake.Faults{DropConnection: 1}, http.MethodGet, lookUpPrefix, "", 502, "repeated after"},
 	}
 	for i, test := range tests {
 		every(fake.Faults{})
--- a/lovageyard/show.go
+++ b/lovageyard/show.go
@@ -112,7 +112,7 @@
 		}
 		table(w, "SERVICE\tSITE\tSERVERS\tTAKE WORK\tSLOTS\tIN FLIGHT HERE\tQUEUED HERE\tMEAN MS", func(w io.Writer) {
 			for _, p := range status.Pools {
-				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\n", p.Service, p.Site, p.Servers, p.Takers,
+				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\n", p.Service, p.Site, p.Servers, p.Available,
 					p.Slots, p.InFlight, p.Queued, p.MeanMs)
 			}
 		})
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -31,51 +31,51 @@
 
 // The metrics of an entry instance.
 var (
-	Answers           = Metric{"answers", Counter, []string{"service", "status"}, "answers to callers; the service is none if no route matched"}
-	Refusals          = Metric{"refusals", Counter, []string{"service", "cause"}, "requests refused as not run"}
-	Latency           = Metric{"latency", Histogram, []string{"service"}, "milliseconds from a request's arrival to a server's answer"}
-	ExpectedWait      = Metric{"expected-wait", Histogram, []string{"service"}, "milliseconds that a request was expected to wait for a slot as it was sent"}
-	Sends             = Metric{"sends", Counter, []string{"service", "failure-domain"}, "attempts sent to servers"}
-	Repeats           = Metric{"repeats", Counter, []string{"service"}, "attempts after the first of a request"}
-	RepeatsDenied     = Metric{"repeats-denied", Counter, []string{"service"}, "repeats that the shared budget did not allow"}
-	ColdSends         = Metric{"cold-sends", Counter, []string{"service"}, "attempts sent to servers that are cold"}
-	ShareElsewhere    = Metric{"share-elsewhere", Gauge, []string{"service"}, "thousandths of the region's requests that run in other regions"}
-	InFlight          = Metric{"requests-in-flight", Gauge, nil, "attempts at servers"}
-	ServersKnown      = Metric{"servers-known", Gauge, nil, "backend servers that are registered"}
-	ServersSuspect    = Metric{"servers-suspect", Gauge, nil, "backend servers that are left alone as they did not answer"}
-	ServersLimited    = Metric{"servers-limited", Gauge, nil, "backend servers that name a limit to the requests that they take"}
-	ServersLeaving    = Metric{"servers-leaving", Gauge, nil, "backend servers that have said in answers that they leave"}
-	ServersBackingOff = Metric{"servers-backing-off", Gauge, nil, "backend servers that want nothing from this instance for now"}
-	ServersEnded      = Metric{"servers-ended", Counter, []string{"service"}, "backend servers seen to end while they had requests"}
-	RequestsHeld      = Metric{"requests-held", Gauge, nil, "requests that are refused as servers end under them"}
-	Connections       = Metric{"connections-opened", Gauge, nil, "connections to servers opened since the start"}
-	ConfigurationNow  = Metric{"configuration-version", Gauge, nil, "version of the configuration in force"}
-	ConfigurationAge  = Metric{"configuration-age", Gauge, nil, "milliseconds since the configuration came into force"}
-	KnowledgeAge      = Metric{"knowledge-age", Gauge, nil, "milliseconds since the configuration in force was known to be the newest, -1 if it never was"}
-	LimitReports      = Metric{"limit-reports", Counter, []string{"outcome"}, "reports on accounts' limits to the instances that own them, by outcome: ok or failed"}
-	LimitsTight       = Metric{"limits-tight", Gauge, nil, "client accounts that are near their limits, by the word of the instances that own their limits"}
-	InstancesLive     = Metric{"instances-live", Gauge, nil, "entry instances that are believed to take work"}
-	ChangeAge         = Metric{"change-age", Histogram, []string{"table"}, "milliseconds from the moment when the first instance heard of a change from the platform to its being in force here"}
-	PlatformReads     = Metric{"platform-reads", Counter, []string{"table"}, "calls that read the platform"}
-	PlatformFailures  = Metric{"platform-failures", Counter, []string{"table", "cause"}, "calls that failed, by timeout or for other reasons, lost history left out"}
-	RowsPassedOver    = Metric{"rows-passed-over", Counter, []string{"table", "field"}, "rows of the platform that are not understood, by the field that is wrong; a row of a server then names none"}
-	PlatformWrites    = Metric{"platform-writes", Counter, nil, "transactions on instances' rows"}
-	PeerExchanges     = Metric{"peer-exchanges", Counter, nil, "exchanges with other instances that were answered"}
-	PeerFailures      = Metric{"peer-failures", Counter, []string{"cause"}, "exchanges with other instances that failed, by timeout or for other reasons"}
-	PeerRows          = Metric{"peer-rows", Counter, []string{"table"}, "rows of the platform heard from other instances"}
-	PeerRowsKnown     = Metric{"peer-rows-known", Counter, []string{"table"}, "rows among these that were known already"}
-	PeerBytes         = Metric{"peer-bytes", Counter, []string{"table"}, "bytes of these rows as they were sent"}
-	LogDroppedRoutine = Metric{"log-dropped-routine", Gauge, nil, "log lines on requests that went well, dropped since the start"}
-	LogDroppedOther   = Metric{"log-dropped-other", Gauge, nil, "other log lines dropped since the start"}
+	Answers              = Metric{"answers", Counter, []string{"service", "status"}, "answers to callers; the service is none if no route matched"}
+	Refusals             = Metric{"refusals", Counter, []string{"service", "cause"}, "requests refused as not run"}
+	Latency              = Metric{"latency", Histogram, []string{"service"}, "milliseconds from a request's arrival to a server's answer"}
+	ExpectedWait         = Metric{"expected-wait", Histogram, []string{"service"}, "milliseconds that a request was expected to wait for a slot as it was sent"}
+	Sends                = Metric{"sends", Counter, []string{"service", "failure-domain"}, "attempts sent to servers"}
+	Retries              = Metric{"repeats", Counter, []string{"service"}, "attempts after the first of a request"}
+	RetriesDenied        = Metric{"repeats-denied", Counter, []string{"service"}, "repeats that the shared budget did not allow"}
+	ColdSends            = Metric{"cold-sends", Counter, []string{"service"}, "attempts sent to servers that are cold"}
+	ShareElsewhere       = Metric{"share-elsewhere", Gauge, []string{"service"}, "thousandths of the region's requests that run in other regions"}
+	InFlight             = Metric{"requests-in-flight", Gauge, nil, "attempts at servers"}
+	ServersKnown         = Metric{"servers-known", Gauge, nil, "backend servers that are registered"}
+	ServersSuspect       = Metric{"servers-suspect", Gauge, nil, "backend servers that are left alone as they did not answer"}
+	ServersLimited       = Metric{"servers-limited", Gauge, nil, "backend servers that name a limit to the requests that they take"}
+	ServersLeaving       = Metric{"servers-leaving", Gauge, nil, "backend servers that have said in answers that they leave"}
+	ServersBackingOff    = Metric{"servers-backing-off", Gauge, nil, "backend servers that want nothing from this instance for now"}
+	ServersCrashed       = Metric{"servers-ended", Counter, []string{"service"}, "backend servers seen to end while they had requests"}
+	RequestsQuarantined  = Metric{"requests-held", Gauge, nil, "requests that are refused as servers end under them"}
+	ConnectionsOpened    = Metric{"connections-opened", Gauge, nil, "connections to servers opened since the start"}
+	ConfigurationVersion = Metric{"configuration-version", Gauge, nil, "version of the configuration in force"}
+	ConfigurationAge     = Metric{"configuration-age", Gauge, nil, "milliseconds since the configuration came into force"}
+	KnowledgeAge         = Metric{"knowledge-age", Gauge, nil, "milliseconds since the configuration in force was known to be the newest, -1 if it never was"}
+	LimitReports         = Metric{"limit-reports", Counter, []string{"outcome"}, "reports on accounts' limits to the instances that own them, by outcome: ok or failed"}
+	AccountsNearLimit    = Metric{"limits-tight", Gauge, nil, "client accounts that are near their limits, by the word of the instances that own their limits"}
+	InstancesLive        = Metric{"instances-live", Gauge, nil, "entry instances that are believed to take work"}
+	ChangeAge            = Metric{"change-age", Histogram, []string{"table"}, "milliseconds from the moment when the first instance heard of a change from the platform to its being in force here"}
+	PlatformReads        = Metric{"platform-reads", Counter, []string{"table"}, "calls that read the platform"}
+	PlatformFailures     = Metric{"platform-failures", Counter, []string{"table", "cause"}, "calls that failed, by timeout or for other reasons, lost history left out"}
+	RowsSkipped          = Metric{"rows-passed-over", Counter, []string{"table", "field"}, "rows of the platform that are not understood, by the field that is wrong; a row of a server then names none"}
+	PlatformWrites       = Metric{"platform-writes", Counter, nil, "transactions on instances' rows"}
+	PeerExchanges        = Metric{"peer-exchanges", Counter, nil, "exchanges with other instances that were answered"}
+	PeerFailures         = Metric{"peer-failures", Counter, []string{"cause"}, "exchanges with other instances that failed, by timeout or for other reasons"}
+	PeerRows             = Metric{"peer-rows", Counter, []string{"table"}, "rows of the platform heard from other instances"}
+	PeerRowsKnown        = Metric{"peer-rows-known", Counter, []string{"table"}, "rows among these that were known already"}
+	PeerBytes            = Metric{"peer-bytes", Counter, []string{"table"}, "bytes of these rows as they were sent"}
+	LogDroppedRoutine    = Metric{"log-dropped-routine", Gauge, nil, "log lines on requests that went well, dropped since the start"}
+	LogDroppedOther      = Metric{"log-dropped-other", Gauge, nil, "other log lines dropped since the start"}
 )
 
 // All lists the metrics in the order of the page.
 func All() []Metric {
 	return []Metric{
-		Answers, Refusals, Latency, ExpectedWait, Sends, Repeats, RepeatsDenied, ColdSends, ShareElsewhere, InFlight,
-		ServersKnown, ServersSuspect, ServersLimited, ServersLeaving, ServersBackingOff, ServersEnded, RequestsHeld, Connections, ConfigurationNow, ConfigurationAge, KnowledgeAge,
-		LimitReports, LimitsTight, InstancesLive,
-		ChangeAge, PlatformReads, PlatformFailures, RowsPassedOver, PlatformWrites, PeerExchanges, PeerFailures,
+		Answers, Refusals, Latency, ExpectedWait, Sends, Retries, RetriesDenied, ColdSends, ShareElsewhere, InFlight,
+		ServersKnown, ServersSuspect, ServersLimited, ServersLeaving, ServersBackingOff, ServersCrashed, RequestsQuarantined, ConnectionsOpened, ConfigurationVersion, ConfigurationAge, KnowledgeAge,
+		LimitReports, AccountsNearLimit, InstancesLive,
+		ChangeAge, PlatformReads, PlatformFailures, RowsSkipped, PlatformWrites, PeerExchanges, PeerFailures,
 		PeerRows, PeerRowsKnown, PeerBytes,
 		LogDroppedRoutine, LogDroppedOther,
 	}
--- a/operator/data.go
+++ b/operator/data.go
@@ -51,24 +51,24 @@
 	Move  lovageyard.Move `json:"move"`
 	// Step is the newest step of the plan.
 	Step int64 `json:"step"`
-	// StepHere is the step that the asked instance applies in full.
-	StepHere int64 `json:"step-here"`
-	// LeftHere is the share of the asked instance's work that still has to move.
-	LeftHere float64 `json:"left-here"`
-	// StepReached is the step that all live instances apply in full.
-	StepReached int64 `json:"step-reached"`
+	// LocalStep is the step that the asked instance applies in full.
+	LocalStep int64 `json:"step-here"`
+	// LocalRemaining is the share of the asked instance's work that still has to move.
+	LocalRemaining float64 `json:"left-here"`
+	// ReachedStep is the step that all live instances apply in full.
+	ReachedStep int64 `json:"step-reached"`
 }
 
 // PoolStatus tells how one service of a site is doing, as seen from the asked instance.
 type PoolStatus struct {
-	Service  string  `json:"service"`
-	Site     string  `json:"site"`
-	Servers  int     `json:"servers"`
-	Takers   int     `json:"takers"`
-	Slots    int     `json:"slots"`
-	InFlight int     `json:"in-flight"`
-	Queued   int     `json:"queued"`
-	MeanMs   float64 `json:"mean-ms"`
+	Service   string  `json:"service"`
+	Site      string  `json:"site"`
+	Servers   int     `json:"servers"`
+	Available int     `json:"takers"`
+	Slots     int     `json:"slots"`
+	InFlight  int     `json:"in-flight"`
+	Queued    int     `json:"queued"`
+	MeanMs    float64 `json:"mean-ms"`
 }
 
 // Explanation tells where a request of a client goes, and why.
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -103,7 +103,7 @@
 	if len(requests) == 0 {
 		return
 	}
-	w.settings.Metrics.Count(meter.ServersEnded, server.Service)
+	w.settings.Metrics.Count(meter.ServersCrashed, server.Service)
 	w.settings.Logger.WithFields(logrus.Fields{
 		"server":       server.Name,
 		"life":         server.Incarnation,
@@ -247,7 +247,7 @@
 		}
 	}
 	w.shown = held
-	w.settings.Metrics.Update(meter.RequestsHeld, int64(len(held)))
+	w.settings.Metrics.Update(meter.RequestsQuarantined, int64(len(held)))
 	return began
 }
 
--- a/soak/accounts.go
+++ b/soak/accounts.go
@@ -68,7 +68,7 @@
 }
 
 // Identified checks what a server is told of a request's caller.
-func (c *checker) Identified(server, id, account string, showsKey bool) {
+func (c *checker) AccountSeen(server, id, account string, showsKey bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sent, known := c.accounts[id]
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -144,7 +144,7 @@
 }
 
 // Asked notes what the answer to a request asks for.
-func (c *checker) Asked(server, id string, n lovageyard.Backpressure) {
+func (c *checker) BackpressureSent(server, id string, n lovageyard.Backpressure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -151,7 +151,7 @@
 		return o
 	}
 	request.Host = requestHost
-	fake.SetHeaders(request.Header, id, fmt.Sprint(rand.IntN(callerKeys)), timeout)
+	fake.SetRequestHeaders(request.Header, id, fmt.Sprint(rand.IntN(callerKeys)), timeout)
 	c.yard.setKey(request.Header, account)
 	response, err := client.Do(request)
 	o.At = time.Now()
@@ -164,7 +164,7 @@
 	got, err := io.ReadAll(response.Body)
 	o.Status = response.StatusCode
 	o.Whole = err == nil
-	o.Own = fake.IsOwn(response.Header, got, id)
+	o.Own = fake.IsCompleteResponse(response.Header, got, id)
 	return o
 }
 
--- a/soak/check.go
+++ b/soak/check.go
@@ -299,7 +299,7 @@
 }
 
 // Ran checks that a request that was refused never runs, and a charge not twice.
-func (c *checker) Ran(server, id string) {
+func (c *checker) Started(server, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ran[id]++
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -20,17 +20,17 @@
 		{"a request that nobody sent", ".*nobody sent", func(c *checker) { c.Arrived("s", "x") }},
 		{"a charge twice", ".*ran again.*", func(c *checker) {
 			c.Send("x", "127.0.0.1:1", true)
-			c.Ran("s", "x")
-			c.Ran("s", "x")
+			c.Started("s", "x")
+			c.Started("s", "x")
 		}},
 		{"run after a refusal", ".*after it had been refused.*", func(c *checker) {
 			c.Send("x", "127.0.0.1:1", false)
 			c.Ended(outcome{ID: "x", Status: 503})
-			c.Ran("s", "x")
+			c.Started("s", "x")
 		}},
 		{"refused after a run", ".*but has run", func(c *checker) {
 			c.Send("x", "127.0.0.1:1", false)
-			c.Ran("s", "x")
+			c.Started("s", "x")
 			c.Ended(outcome{ID: "x", Status: 429})
 		}},
 		{"a foreign answer", ".*not its own whole answer.*", func(c *checker) {
@@ -40,7 +40,7 @@
 			c.Ended(outcome{ID: "x", Status: 200, Own: true})
 		}},
 		{"cut in quiet", ".*was cut.*", func(c *checker) {
-			c.Ran("s", "x")
+			c.Started("s", "x")
 			c.Ended(outcome{ID: "x", Sent: true, Began: time.Now(), At: time.Now()})
 		}},
 		{"work for a server that left", ".*after it left", func(c *checker) {
@@ -50,15 +50,15 @@
 		}},
 		{"a key shown to a server", ".*key shown: true", func(c *checker) {
 			c.SendAs("x", sentAs{name: "account-0"})
-			c.Identified("s", "x", "account-0", true)
+			c.AccountSeen("s", "x", "account-0", true)
 		}},
 		{"another account at a server", ".*as of account.*", func(c *checker) {
 			c.SendAs("x", sentAs{name: "account-0"})
-			c.Identified("s", "x", "forged", false)
+			c.AccountSeen("s", "x", "forged", false)
 		}},
 		{"a key that was taken away", ".*taken away more than.*", func(c *checker) {
 			c.SendAs("x", sentAs{name: "account-0", taken: true})
-			c.Identified("s", "x", "account-0", false)
+			c.AccountSeen("s", "x", "account-0", false)
 		}},
 		{"a lasting key told unknown", ".*its key is unknown", func(c *checker) {
 			c.SendAs("x", sentAs{name: "account-0"})
@@ -107,7 +107,7 @@
 			for i := range 3 {
 				id := fmt.Sprint(i)
 				c.Send(id, "127.0.0.1:1", false)
-				c.Asked("s", id, lovageyard.Backpressure{Backoff: time.Minute})
+				c.BackpressureSent("s", id, lovageyard.Backpressure{Backoff: time.Minute})
 				r := c.notices.backoffs[way{"s", ""}]
 				r.asked = time.Now().Add(-2 * time.Second)
 				c.notices.backoffs[way{"s", ""}] = r
@@ -118,7 +118,7 @@
 			for i := range 9 {
 				id := fmt.Sprint(i)
 				c.Send(id, "127.0.0.1:1", false)
-				c.Asked("s", id, lovageyard.Backpressure{Limited: true, Limit: 0.5})
+				c.BackpressureSent("s", id, lovageyard.Backpressure{Limited: true, Limit: 0.5})
 				c.Ended(outcome{ID: id, Status: 200, Whole: true, Own: true})
 				c.notices.namedAt["s"] = time.Now().Add(-time.Minute)
 				c.notices.limited[way{"s", ""}] = time.Now().Add(-time.Minute)
@@ -169,7 +169,7 @@
 			checks.Send("x", "127.0.0.1:1", false)
 			checks.leftAt["s"] = now.Add(-time.Minute)
 			checks.Arrived("s", "x")
-			checks.Ran("s", "x")
+			checks.Started("s", "x")
 			checks.Ended(outcome{ID: "x", Instance: "127.0.0.1:1", Sent: true, Began: now, At: now})
 			checks.Probed("entry-1/3", 5, 404, now.Add(-time.Minute))
 			violations, _ := checks.Result()
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -37,7 +37,7 @@
 			return
 		}
 		request.Host = requestHost
-		fake.SetHeaders(request.Header, id, "deadly", probeTimeout)
+		fake.SetRequestHeaders(request.Header, id, "deadly", probeTimeout)
 		y.setKey(request.Header, lastingAccount(0))
 		if response, err := client.Do(request); err == nil {
 			_, _ = io.Copy(io.Discard, response.Body)
@@ -49,7 +49,7 @@
 
 // makeFrail lets a server end under deadly requests; another one takes its place.
 func (y *yard) makeFrail(b *backend) {
-	b.SetDeadly(deadlyPrefix, func(path string) {
+	b.SetCrashPrefix(deadlyPrefix, func(path string) {
 		y.check.DeadlyEnded(path)
 		if err := y.crash(b, restartAfter); err != nil {
 			y.problem(err)
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -64,11 +64,11 @@
 		i.signal(syscall.SIGTERM)
 		return y.restart(i)
 	case storeDown, storeSilent, storeSlow, storeLost, storeLate:
-		y.store.SetTrouble(storeTrouble(f.Kind))
+		y.store.SetFaults(storeTrouble(f.Kind))
 		time.Sleep(f.For)
-		y.store.SetTrouble(fake.Trouble{})
+		y.store.SetFaults(fake.StoreFaults{})
 	case storeForgets:
-		y.store.Forget()
+		y.store.DropHistory()
 	case cutFromStore:
 		return y.toxic(y.proxies[i.name], f, `{"name":"fault","type":"timeout","attributes":{"timeout":0}}`)
 	case delayServer:
@@ -140,31 +140,31 @@
 	return err
 }
 
-func storeTrouble(k kind) fake.Trouble {
+func storeTrouble(k kind) fake.StoreFaults {
 	switch k {
 	case storeDown:
-		return fake.Trouble{Status: http.StatusServiceUnavailable}
+		return fake.StoreFaults{Status: http.StatusServiceUnavailable}
 	case storeSilent:
-		return fake.Trouble{Silent: true}
+		return fake.StoreFaults{Hang: true}
 	case storeSlow:
-		return fake.Trouble{Delay: 250 * time.Millisecond}
+		return fake.StoreFaults{Delay: 250 * time.Millisecond}
 	case storeLost:
-		return fake.Trouble{LoseWrites: true}
+		return fake.StoreFaults{DropWriteResponses: true}
 	}
-	return fake.Trouble{Late: time.Second}
+	return fake.StoreFaults{WriteDelay: time.Second}
 }
 
 func serverFaults(k kind) fake.Faults {
 	const share = 0.3
 	switch k {
 	case spoilAnswers:
-		return fake.Faults{Spoil: share}
+		return fake.Faults{Truncate: share}
 	case loseAnswers:
-		return fake.Faults{Lose: share}
+		return fake.Faults{DropConnection: share}
 	case doubleAnswers:
-		return fake.Faults{Extra: share}
+		return fake.Faults{ExtraResponse: share}
 	case shedRequests:
-		return fake.Faults{Shed: share}
+		return fake.Faults{Reject: share}
 	}
 	return fake.Faults{Fail: share}
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -93,11 +93,11 @@
 	if !decode(w, r, &faults) {
 		return
 	}
-	trouble := fake.Trouble{Delay: faults.SlowBy.Std(), LoseWrites: faults.LoseAnswers}
+	trouble := fake.StoreFaults{Delay: faults.SlowBy.Std(), DropWriteResponses: faults.LoseAnswers}
 	if faults.Down {
 		trouble.Status = http.StatusServiceUnavailable
 	}
-	p.store.SetTrouble(trouble)
+	p.store.SetFaults(trouble)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listLag = faults.ListLag.Std()
