--- a/integration/backpressure_test.go
+++ b/integration/backpressure_test.go
@@ -26,7 +26,7 @@
 	a.at[server] = append(a.at[server], time.Now())
 }
 
-func (a *arrivalRecorder) Ran(string, string) {}
+func (a *arrivalRecorder) Started(string, string) {}
 
 // since returns the arrivals at a server at or after a time.
 func (a *arrivalRecorder) since(server string, from time.Time) []time.Time {
--- a/integration/poison_test.go
+++ b/integration/poison_test.go
@@ -73,7 +73,7 @@
 	}, crashableWork, observer{})
 	f.c.Assert(err, qt.IsNil)
 	f.c.Cleanup(server.Close)
-	server.SetDeadly(crashablePrefix+"deadly", func(string) {
+	server.SetCrashPrefix(crashablePrefix+"deadly", func(string) {
 		f.mu.Lock()
 		f.crashed++
 		f.mu.Unlock()
@@ -99,7 +99,7 @@
 	request, err := http.NewRequest(http.MethodGet, "http://"+e.address+path, strings.NewReader(""))
 	f.c.Check(err, qt.IsNil)
 	request.Host = edgeHost
-	fake.SetHeaders(request.Header, fmt.Sprint("attempt-", number), "object", 10*time.Second)
+	fake.SetRequestHeaders(request.Header, fmt.Sprint("attempt-", number), "object", 10*time.Second)
 	// Each attempt comes from another address, so that the client's address can't identify the request.
 	from := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(number))}}
 	transport := &http.Transport{DialContext: from.DialContext, DisableKeepAlives: true}
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -106,7 +106,7 @@
 	if len(requests) == 0 {
 		return
 	}
-	w.settings.Metrics.Count(meter.ServersEnded, server.Service)
+	w.settings.Metrics.Count(meter.ServersCrashed, server.Service)
 	w.settings.Logger.WithFields(logrus.Fields{
 		"server":       server.Name,
 		"life":         server.Incarnation,
@@ -251,7 +251,7 @@
 		}
 	}
 	w.logged = quarantined
-	w.settings.Metrics.Update(meter.RequestsHeld, int64(len(quarantined)))
+	w.settings.Metrics.Update(meter.RequestsQuarantined, int64(len(quarantined)))
 	return added
 }
 
