--- a/entry/caller.go
+++ b/entry/caller.go
@@ -89,7 +89,7 @@
 	if x.caller.account == nil {
 		return true
 	}
-	return x.holdsKey() && isWithin(x.handler.Source.ConfigurationAge(), x.handler.Limits.Serve)
+	return x.holdsKey() && isWithin(x.handler.Source.ConfirmationAge(), x.handler.Limits.Serve)
 }
 
 // holdsKey reports whether the key belongs to the account in the current configuration.
@@ -114,7 +114,7 @@
 // rejectUnknown ends a request that the configuration does not allow. If the configuration is too old, a newer
 // one may allow it, so that the request is refused with a retry time instead.
 func (x *exchange) rejectUnknown(status int, reason string) {
-	if !x.view.Accounts.IsEmpty() && !isWithin(x.handler.Source.ConfigurationAge(), x.handler.Limits.Reject) {
+	if !x.view.Accounts.IsEmpty() && !isWithin(x.handler.Source.ConfirmationAge(), x.handler.Limits.Reject) {
 		x.refuse(causeStale, reason+", and may have been added since", staleRetry, nil)
 		return
 	}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -80,7 +80,7 @@
 
 func (s source) View() *catalog.View { return s.view }
 
-func (s source) ConfigurationAge() time.Duration {
+func (s source) ConfirmationAge() time.Duration {
 	if s.age == nil {
 		return 0
 	}
@@ -130,8 +130,8 @@
 // View returns the current view.
 func (h *harness) View() *catalog.View { return h.view }
 
-// ConfigurationAge returns the age set by the test.
-func (h *harness) ConfigurationAge() time.Duration { return source{age: h.age}.ConfigurationAge() }
+// ConfirmationAge returns the age set by the test.
+func (h *harness) ConfirmationAge() time.Duration { return source{age: h.age}.ConfirmationAge() }
 
 // source returns the handler's Source.
 func (h *harness) source() entry.Source {
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -82,10 +82,10 @@
 // spendRetry takes one retry from the budget that all instances share, if any is left.
 func (x *exchange) spendRetry() bool {
 	if x.handler.Dispatch.TakeRetry(x.service, x.handler.Timer.Now()) {
-		x.handler.Metrics.Count(meter.Repeats, x.label())
+		x.handler.Metrics.Count(meter.Retries, x.label())
 		return true
 	}
-	x.handler.Metrics.Count(meter.RepeatsDenied, x.label())
+	x.handler.Metrics.Count(meter.RetriesDenied, x.label())
 	return false
 }
 
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -27,8 +27,8 @@
 // Source provides the current view of instances, servers and configuration.
 type Source interface {
 	View() *catalog.View
-	// ConfigurationAge returns how long ago the current configuration was confirmed to be the newest.
-	ConfigurationAge() time.Duration
+	// ConfirmationAge returns how long ago the current configuration was confirmed to be the newest.
+	ConfirmationAge() time.Duration
 }
 
 // Codec translates between HTTP headers of the platform and request metadata.
--- a/integration/accounts_test.go
+++ b/integration/accounts_test.go
@@ -29,7 +29,7 @@
 }
 
 // Identified records one request that reached the server.
-func (r *callerRecorder) Identified(_, _, account string, showsKey bool) {
+func (r *callerRecorder) AccountSeen(_, _, account string, showsKey bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.accounts[account]++
@@ -57,7 +57,7 @@
 	request, err := http.NewRequest(http.MethodGet, "http://"+e.address+keyedPath, nil)
 	e.c.Assert(err, qt.IsNil)
 	request.Host = edgeHost
-	fake.SetHeaders(request.Header, id, id, 30*time.Second)
+	fake.SetRequestHeaders(request.Header, id, id, 30*time.Second)
 	request.Header.Set("X-Tenant", "forged")
 	if account != "" {
 		fake.SetKey(request.Header, fake.KeysOf(account)[0])
@@ -104,7 +104,7 @@
 // keys, and accept the valid ones again once it has read the configuration.
 func TestRevokedKeyRunsNothingDuringPlatformOutage(t *testing.T) {
 	e, recorder := newAccountEdge(t)
-	e.store.SetTrouble(fake.Trouble{Silent: true})
+	e.store.SetFaults(fake.StoreFaults{Hang: true})
 	e.configureAccounts(3, lovageyard.Account{Name: "b"})
 	e.until("keys to be refused", func() bool { return e.requestAs("a", "second") == http.StatusServiceUnavailable })
 	recorder.mu.Lock()
@@ -115,7 +115,7 @@
 			e.c.Assert(e.requestAs(account, fmt.Sprint("later-", n)), qt.Equals, http.StatusServiceUnavailable)
 		}
 	}
-	e.store.SetTrouble(fake.Trouble{})
+	e.store.SetFaults(fake.StoreFaults{})
 	e.until("the remaining key to be served", func() bool { return e.requestAs("b", "third") == http.StatusOK })
 	e.c.Assert(e.requestAs("a", "fourth"), qt.Equals, http.StatusUnauthorized)
 	recorder.mu.Lock()
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -173,7 +173,7 @@
 		Seeds:      o.PeerAddresses,
 		Seed:       uint64(self.Incarnation),
 
-		MaxConfigurationAge: o.RevokeWithin,
+		MaxConfirmationAge: o.RevokeWithin,
 	})
 	e.limiter = quota.NewLimiter(quota.Settings{
 		Self:    o.Instance,
@@ -292,17 +292,17 @@
 	}
 	census := e.dispatch.Stats(now)
 	dropped := e.sink.Dropped()
-	e.meters.Update(meter.Connections, e.link.Opened())
+	e.meters.Update(meter.ConnectionsOpened, e.link.Opened())
 	e.meters.Update(meter.ServersKnown, int64(census.Servers))
 	e.meters.Update(meter.ServersSuspect, int64(census.Suspects))
 	e.meters.Update(meter.ServersLimited, int64(census.Limited))
 	e.meters.Update(meter.ServersLeaving, int64(census.Leaving))
 	e.meters.Update(meter.ServersBackingOff, int64(census.BackingOff))
 	e.meters.Update(meter.InFlight, int64(census.InFlight))
-	e.meters.Update(meter.ConfigurationNow, int64(view.Version()))
+	e.meters.Update(meter.ConfigurationVersion, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
-	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfigurationAge()))
-	e.meters.Update(meter.LimitsTight, int64(e.limiter.MeteredCount()))
+	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfirmationAge()))
+	e.meters.Update(meter.AccountsNearLimit, int64(e.limiter.MeteredCount()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
 	e.meters.Update(meter.LogDroppedOther, dropped.Other)
