--- a/account.go
+++ b/account.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// KeyDigest stands for a key of a client account, which is not kept itself.
+// KeyDigest is the SHA-256 digest of a client account's API key. The key itself is never stored.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey returns the digest of a key.
+// DigestKey returns the digest under which an API key is stored and looked up.
 func DigestKey(key string) KeyDigest {
 	return sha256.Sum256([]byte(key))
 }
 
-// Account is a client account: whoever presents one of its keys is its caller.
+// Account is a client account. A caller that presents one of its keys acts for it.
 type Account struct {
 	Name string
 	Keys []KeyDigest
 	// Rank orders accounts under overload, before the rank of the route; 0 is served first.
 	Rank int
-	// Rate is the limit in requests a second over all instances, with Burst requests on top; a rate of 0
-	// means no limit.
+	// Rate is the limit in requests per second summed over all instances, with Burst requests on top.
+	// A Rate of 0 means no limit.
 	Rate  float64
 	Burst float64
-	// HomeRegions are the only regions that may run the account's requests; empty means all.
+	// HomeRegions lists the only regions that may run the account's requests; empty means all regions.
 	HomeRegions []string
 }
 
-// Credentials are what a request says of who sends it.
+// Credentials holds what a request states about the identity of its sender.
 type Credentials struct {
-	// Given says that the request has credentials, well formed or not.
+	// Present reports whether the request carries credentials, well formed or not.
 	Present bool
-	// Key is the key that they hold, or "" if they are not of the expected form.
+	// Key is the API key in the credentials, or "" if they are malformed.
 	Key string
-	// Text is what was given, for comparisons only: it must not be passed on or logged.
+	// Raw is the unparsed value, for comparison only: it must not be forwarded or logged.
 	Raw string
 }
 
-// Forwarding is what a backend server is told beside the request itself.
+// Forwarding is the metadata that is sent to a backend server along with the request.
 type Forwarding struct {
-	// Left is the time that is left until the deadline.
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Server is the identity of the server that is meant.
+	// Server is the identity of the server that the request is meant for.
 	Server string
-	// Identified says that callers' credentials were checked here, so that the server does not get them.
+	// Authenticated means that this instance checked the caller's credentials, so they are not
+	// forwarded to the server.
 	Authenticated bool
-	// Account is the caller's account, or "" if it has none.
+	// Account is the name of the caller's account, or "" if it has none.
 	Account string
 }
--- a/duration.go
+++ b/duration.go
@@ -7,25 +7,25 @@
 	"github.com/pkg/errors"
 )
 
-// Duration is a time span that reads and writes itself as text such as "1.5s".
+// Duration is a time.Duration that is encoded in JSON as a string such as "1.5s".
 type Duration time.Duration
 
-// Std returns d as the standard library's type.
+// Std converts d to a time.Duration.
 func (d Duration) Std() time.Duration {
 	return time.Duration(d)
 }
 
-// String returns d in the format of time.Duration.
+// String formats d like time.Duration, for example "1m30s".
 func (d Duration) String() string {
 	return time.Duration(d).String()
 }
 
-// MarshalJSON writes d as a quoted string.
+// MarshalJSON encodes d as a quoted string such as "30s".
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return []byte(strconv.Quote(d.String())), nil
 }
 
-// UnmarshalJSON reads a quoted duration; a bare number is an error, as its unit is unknown.
+// UnmarshalJSON decodes a quoted duration. A bare number is an error, because its unit is unknown.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	text, err := strconv.Unquote(string(data))
 	if err != nil {
--- a/instance.go
+++ b/instance.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// InstanceState says whether an instance takes new work.
+// InstanceState tells whether an instance or a server accepts new requests.
 type InstanceState string
 
-// The states that the platform's list and the instances themselves report.
+// States of an instance, as reported by the platform's listing and by the instances themselves.
 const (
 	StateLive    InstanceState = "live"
 	StateLeaving InstanceState = "leaving"
 	StateGone    InstanceState = "gone"
 )
 
-// EntryInstance is one running lovageyardd as others know it.
+// EntryInstance describes a running lovageyardd process to its peers.
 type EntryInstance struct {
 	Name            string        `json:"instance"`
 	Incarnation     int64         `json:"life"`
@@ -22,17 +22,19 @@
 	PeerAddress     string        `json:"peer-address"`
 	OperatorAddress string        `json:"operator-address"`
 	State           InstanceState `json:"state"`
-	// LinkMbps is what its link carries in Mbit/s; 0 means that it is not known.
+	// LinkMbps is the capacity of the instance's network link in Mbit/s, or 0 if unknown.
 	LinkMbps float64 `json:"link-mbps,omitzero"`
-	// Stale says that the instance may not know the newest configuration, so that it refuses requests with keys.
+	// Stale means that the instance may lack the newest configuration, and therefore refuses
+	// requests that carry keys.
 	Stale bool `json:"behind,omitempty"`
 }
 
-// BackendServer is one instance that runs a service, as the platform lists it.
+// BackendServer describes one server of a service, as the platform lists it.
 type BackendServer struct {
 	Name string `json:"server"`
-	// Incarnation is when the server started by its own clock, in Unix milliseconds, or 0 if it does not
-	// tell. It only tells lives apart: which of two is the later one, the platform's versions say.
+	// Incarnation is the server's start time by its own clock, in Unix milliseconds, or 0 if the
+	// server does not report it. It only distinguishes incarnations; to order them, compare the
+	// versions of the platform's rows.
 	Incarnation   int64         `json:"life,omitzero"`
 	Service       string        `json:"service"`
 	Site          string        `json:"site"`
@@ -42,28 +44,28 @@
 	Slots         int           `json:"slots"`
 	Connections   int           `json:"connections"`
 	State         InstanceState `json:"state"`
-	// ColdFor is how much longer the server was slow when the platform was told.
+	// ColdFor is the remaining warm-up time when the server wrote its entry.
 	ColdFor Duration `json:"cold-for,omitzero"`
 }
 
-// Listing is one answer of the platform's instance list, which may lag.
+// Listing is a snapshot of the platform's instance list. It may be out of date.
 type Listing struct {
 	EntryInstances []EntryInstance `json:"entry-instances"`
 	BackendServers []BackendServer `json:"backend-servers"`
 }
 
-// LoadReport is what a backend server says of itself with each answer.
+// LoadReport is the load that a backend server reports with each response.
 type LoadReport struct {
 	Slots    int `json:"slots"`
 	InFlight int `json:"in-flight"`
 	Queued   int `json:"queued"`
-	// Leaving says that the server takes no new work.
+	// Leaving means that the server accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
-	// MeanMs is the mean time that the server spent on a request of late, in milliseconds.
+	// MeanMs is the recent mean service time of a request, in milliseconds.
 	MeanMs float64 `json:"mean-ms,omitempty"`
 }
 
-// Answer is what one exchange with a backend server taught about it.
+// Outcome is the result of one attempt at a backend server, as used to update the server's state.
 type Outcome struct {
 	At       time.Time
 	Duration time.Duration
--- a/ports.go
+++ b/ports.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// Table names of the rows that the system keeps in the platform's table service.
+// Names of the tables that the system keeps in the platform's table service.
 const (
 	TableClasses = "classes"
 	TableSites   = "sites"
@@ -16,9 +16,9 @@
 	TableLeases  = "leases"
 	TableClaims  = "claims"
 	TableGrants  = "grants"
-	// TableBackends lists the backend servers that the platform knows of.
+	// TableBackends lists the backend servers that are registered with the platform.
 	TableBackends = "backends"
-	// TableObjects names, for each object, the blob that holds its newest version.
+	// TableObjects maps each object to the blob that holds its newest version.
 	TableObjects = "objects"
 )
 
@@ -31,7 +31,7 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Condition demands that a row be at a version; version 0 demands that it be absent.
+// Condition requires a row to have a given version; version 0 requires it to be absent.
 type Condition struct {
 	Table   string `json:"table"`
 	Key     string `json:"key"`
@@ -46,51 +46,51 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Transaction is a set of writes that take effect together, if all conditions hold.
+// Transaction is a set of writes that are committed atomically if all conditions hold.
 type Transaction struct {
 	Conditions []Condition `json:"conditions"`
 	Writes     []Write     `json:"writes"`
 }
 
-// Changes are the rows of some tables that changed after one version, up to another.
+// Changes holds the rows of some tables that changed after version After, up to version To.
 type Changes struct {
 	After int64 `json:"after"`
 	To    int64 `json:"to"`
 	Rows  []Row `json:"rows"`
-	// PlatformTime is the platform's steady clock as it answered, or 0 if it did not say.
+	// PlatformTime is the platform's monotonic clock at the time of its response, or 0 if not reported.
 	PlatformTime time.Duration `json:"-"`
 }
 
-// ConflictError reports the row that kept a transaction from taking effect.
+// ConflictError reports the row whose version kept a transaction from being committed.
 type ConflictError struct {
 	Row Row
 }
 
-// Error names the row.
+// Error returns a message that names the conflicting row.
 func (e *ConflictError) Error() string {
 	return "row " + e.Row.Table + "/" + e.Row.Key + " is at another version"
 }
 
-// Errors of the platform's services.
+// Errors that the platform's services return.
 var (
 	ErrNotFound = errors.New("not found")
-	// ErrUnknownOutcome reports a write of which it is not known whether it took effect.
+	// ErrUnknownOutcome reports a write that may or may not have been committed.
 	ErrUnknownOutcome = errors.New("the outcome of the write is not known")
 )
 
 // Table is the platform's transactional table service.
 type Table interface {
-	// Read returns one row, or ErrNotFound.
+	// Read returns one row, or ErrNotFound if it does not exist.
 	Read(ctx context.Context, table, key string) (Row, error)
 	// Transact commits t and returns its version. The error is a *ConflictError if a condition
-	// did not hold, and wraps ErrUnknownOutcome if t may have been or may yet be committed.
+	// did not hold, and wraps ErrUnknownOutcome if t may have been committed or may be later.
 	Transact(ctx context.Context, t Transaction) (int64, error)
-	// Changes returns the changes of some tables after a version, or all their rows, as
-	// changes after version 0, if the platform no longer has these changes.
+	// Changes returns the changes to the tables after a version. If the platform no longer has
+	// them, it returns all rows as changes after version 0.
 	Changes(ctx context.Context, tables []string, after int64) (Changes, error)
 }
 
-// Object is one object of the platform's object store.
+// Object is one version of an object in the platform's object store.
 type Object struct {
 	Name    string
 	Version int64
@@ -99,49 +99,50 @@
 
 // ObjectStore is the platform's object store.
 type ObjectStore interface {
-	// Get returns the newest version of an object, or ErrNotFound.
+	// Get returns the newest version of an object, or ErrNotFound if it does not exist.
 	Get(ctx context.Context, name string) (Object, error)
-	// Put stores an object if it still has the version that o names, and returns the new one.
+	// Put stores o if the object's current version is o.Version, and returns the new version.
 	Put(ctx context.Context, o Object) (int64, error)
 }
 
-// InstanceList is the platform's list of live and leaving instances, which lags.
+// InstanceList is the platform's list of live and leaving instances. It may be out of date.
 type InstanceList interface {
 	Listing(ctx context.Context) (Listing, error)
 }
 
-// Ticks is one subscription to a Timer.
+// Ticker is one subscription to a Timer.
 type Ticker interface {
-	// C delivers the time of each tick; a tick that finds the last one unread is dropped.
+	// C delivers the time of each tick. A tick is dropped if the previous one was not yet received.
 	C() <-chan time.Time
 	// Close ends the subscription.
 	Close()
 }
 
-// Timer is the timer service that parts of the program subscribe to.
+// Timer is the source of time for the program, so that tests can substitute a manual clock.
 type Timer interface {
 	Now() time.Time
-	// Elapsed is the time since a fixed moment, that included in which the machine was suspended.
+	// Elapsed returns the time since a fixed point, including time when the machine was suspended.
 	Elapsed() time.Duration
 	Subscribe(every time.Duration) Ticker
-	// After returns a channel that delivers once, when the time has passed.
+	// After returns a Ticker that delivers once, after d.
 	After(d time.Duration) Ticker
 }
 
-// Backend sends requests to backend servers.
+// Backend sends requests to backend servers. It is safe for concurrent use.
 type Backend interface {
-	// Stream makes one attempt, and returns the answer as it comes; a failure is a *RequestError.
+	// Stream makes one attempt and returns the response before its body has been read. The error
+	// is a *RequestError.
 	Stream(r *http.Request, server BackendServer) (*http.Response, error)
-	// Probe asks a backend server for its load and health.
+	// Probe requests the load and health of a backend server.
 	Probe(ctx context.Context, server BackendServer) (LoadReport, error)
 }
 
-// Recorder keeps a record of the decisions on routing and placement.
+// Recorder logs routing and placement decisions.
 type Recorder interface {
 	Record(d Decision)
 }
 
-// Decision is one routing or placement decision with its inputs and its reason.
+// Decision describes one routing or placement decision with its inputs and its reason.
 type Decision struct {
 	Kind        string
 	Class       string
--- a/steering.go
+++ b/steering.go
@@ -7,80 +7,81 @@
 	"github.com/pkg/errors"
 )
 
-// Route sends the requests of one host and path prefix to a service.
+// Route directs the requests of one host and path prefix to one or more services.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash; among the routes of a host the longest wins.
+	// Prefix begins and ends with a slash. The longest matching prefix of a host wins.
 	Prefix string
-	// Idempotent says that a request may run more than once without harm.
+	// Idempotent means that a request may safely run more than once.
 	Idempotent bool
-	// Timeout bounds the whole request, whatever the client's own deadline is.
+	// Timeout limits the whole request, even if the client's deadline is later.
 	Timeout time.Duration
-	// Goal is the latency objective of a request.
+	// Goal is the latency objective (SLO) of a request.
 	Goal time.Duration
 	// Rank orders routes under overload; 0 is served first.
 	Rank int
-	// Parts are the services that share the requests by weight; at least one.
+	// Parts lists the services that share the requests by weight; there is at least one.
 	Parts []ServiceWeight
-	// Attempts is the largest number of servers that one request may be sent to.
+	// Attempts is the maximum number of servers that one request may be sent to, at least 1.
 	Attempts int
-	// Sticky says that a server that handled an object lately works faster on it.
+	// Sticky means that a server that recently handled an object is faster at it (affinity).
 	Sticky bool
-	// HomeRegions are the only regions that may run the requests; empty means all.
+	// HomeRegions lists the only regions that may run the requests; empty means all regions.
 	HomeRegions []string
-	// Open says that requests need no key, though there are client accounts.
+	// Open means that requests need no key even if client accounts are configured.
 	Open bool
 }
 
-// Part is one service of a route and its share of the requests.
+// ServiceWeight is one service of a route with its relative share of the requests.
 type ServiceWeight struct {
 	Service string
 	Weight  float64
 }
 
-// Service describes what all servers of one service have in common.
+// Service holds the properties that all servers of one service have in common.
 type Service struct {
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// ColdFor is how long a server is slow after its start.
+	// ColdFor is how long a server is slow after its start (its warm-up time).
 	ColdFor time.Duration
-	// ColdRate is the number of requests a second that a cold server bears.
+	// ColdRate is the request rate that a cold server can sustain, in requests per second.
 	ColdRate float64
 }
 
-// Configuration is one version of all routes, services and client accounts.
+// Configuration is one version of the routes, services and client accounts.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
-	// Accounts are the client accounts; if there are any, requests need a key.
+	// Accounts lists the client accounts; if there are any, requests need a key.
 	Accounts     []Account
 	MaxBodyBytes int64
 }
 
-// Tables of the platform that entry instances follow, by our names.
+// Internal names of the platform's tables that entry instances follow.
 const (
 	TableOrders    = "orders"
 	TableServers   = "servers"
 	TableInstances = "instances"
-	// TableHolds has the requests that are refused as servers end under them; it is not followed.
+	// TableQuarantine holds the requests that are refused because they crash servers. It is not
+	// among the followed tables.
 	TableQuarantine = "holds"
 )
 
-// FollowedTables lists the tables that each entry instance follows.
+// FollowedTables lists the tables whose changes each entry instance watches.
 func FollowedTables() []string {
 	return []string{TableOrders, TableServers, TableInstances}
 }
 
-// Record is one decoded row of a followed table; one of the pointers is set.
+// Record is a decoded row of a followed table; exactly one of the pointers is set.
 type Record struct {
 	// Key identifies the record within its table.
 	Key string
-	// Version grows with each change of the record.
+	// Version increases with each change of the record.
 	Version int64
-	// Removed says that the record is gone; the pointed-to value then holds only its name.
+	// Removed means that the record was deleted; the pointed-to value then holds only its name.
 	Removed       bool
 	Configuration *Configuration
 	Drain         *DomainDrain
@@ -88,15 +89,15 @@
 	Instance      *EntryInstance
 }
 
-// FieldError says which field of a row is wrong.
+// FieldError reports an invalid field of a row.
 type FieldError struct {
-	// Field is the platform's name of the field, or "" for the whole row.
+	// Field is the platform's name for the field, or "" for the whole row.
 	Field string
-	// Reason says what is wrong, with the value cut at a bounded length.
+	// Reason describes the fault; a value in it is truncated.
 	Reason string
 }
 
-// Error names the field.
+// Error returns the field, if known, and the reason.
 func (e *FieldError) Error() string {
 	if e.Field == "" {
 		return e.Reason
@@ -104,66 +105,68 @@
 	return e.Field + ": " + e.Reason
 }
 
-// DomainDrain orders that a failure domain's servers get no work until it is removed.
+// DomainDrain orders that a failure domain's servers get no requests. It applies until it is removed.
 type DomainDrain struct {
 	FailureDomain string
 }
 
-// ErrHistoryLost reports that the platform no longer has the changes that were asked for.
+// ErrHistoryLost reports that the platform no longer has the requested changes, so that the
+// whole table has to be read again.
 var ErrHistoryLost = errors.New("the platform no longer has these changes")
 
-// Feed reads whole tables of the platform and waits for their changes.
+// Feed reads whole tables of the platform and watches them for changes.
 type Feed interface {
-	// Rows returns all rows of a table as of one version.
+	// Rows returns all rows of a table at one version.
 	Rows(ctx context.Context, table string) (Changes, error)
-	// Watch returns the changes after a version as soon as there are any, or none when the wait is over.
+	// Watch returns the changes after a version as soon as there are any, or none after the wait
+	// (a long poll). The error is ErrHistoryLost if the changes are no longer available.
 	Watch(ctx context.Context, table string, after int64, wait time.Duration) (Changes, error)
 }
 
-// Decoder turns a row of a followed table into a record.
+// Decoder decodes rows of followed tables. Its errors name the invalid field.
 type Decoder interface {
 	Decode(r Row) (Record, error)
 }
 
-// RequestMeta is what a caller's request says about itself.
+// RequestMeta is the metadata in the headers of a caller's request.
 type RequestMeta struct {
-	// ID identifies one attempt of a client.
+	// ID is the client's identifier of one attempt.
 	ID string
-	// Key names the object that the request concerns, or is "".
+	// Key is the affinity key: the object that the request concerns, or "".
 	Key string
-	// Deadline is how long the client waits; 0 means that it did not say.
+	// Timeout is how long the client waits, or 0 if it did not state it.
 	Timeout time.Duration
-	// Credentials tell whose request it is.
+	// Credentials identify the caller.
 	Credentials Credentials
 }
 
-// AnswerMeta is what a backend server's answer says about itself.
+// ResponseMeta is the metadata in the headers of a backend server's response.
 type ResponseMeta struct {
-	// ID is the request that the answer belongs to, or "" if it does not say.
+	// ID identifies the request that the response belongs to, or is "" if not stated.
 	ID string
-	// Sealed says that the server vouches for the answer.
+	// Sealed means that the response carries the server's seal, which only its own responses have.
 	Sealed bool
-	// NotRun says that the server did not run the request.
+	// NotRun means that the server did not run the request.
 	NotRun bool
-	// Misdirected says that another server has taken over the address.
+	// Misdirected means that another server now uses the address.
 	Misdirected bool
-	// Load is the server's report, if Reported.
+	// Load is the server's load; it is valid only if Reported is set.
 	Load     LoadReport
 	Reported bool
-	// ColdFor is how long the server stays slow, if it said so.
+	// ColdFor is the server's remaining warm-up time, or 0 if not stated.
 	ColdFor      time.Duration
 	Backpressure Backpressure
 }
 
-// Notice is what a backend server's answer asks of those who send to it.
+// Backpressure holds the backpressure signals in a backend server's response.
 type Backpressure struct {
-	// Limited says that the server takes only Limit requests a second, from all instances together.
+	// Limited means that the server accepts only Limit requests per second from all instances together.
 	Limited bool
 	Limit   float64
-	// Unclear says that the answer names a limit that can't be read.
+	// InvalidLimit means that the response states a limit that cannot be parsed.
 	InvalidLimit bool
-	// Leaving says that the server takes no new work any more.
+	// Leaving means that the server accepts no new requests.
 	Leaving bool
-	// Backoff is how long the server wants nothing from this instance, or 0.
+	// Backoff is how long this instance should send nothing to the server, or 0.
 	Backoff time.Duration
 }
--- a/verdict.go
+++ b/verdict.go
@@ -2,22 +2,23 @@
 
 import "github.com/pkg/errors"
 
-// Verdict says whether a request that failed may have run at a backend server.
+// Verdict tells a caller whether a failed request may have run at a backend server, and so
+// whether a retry is safe.
 type Verdict string
 
-// The verdicts; NotRun is given only when it is proved.
+// The verdicts. VerdictNotRun is used only if it is certain that the request did not run.
 const (
 	VerdictNotRun     Verdict = "not-run"
 	VerdictMayHaveRun Verdict = "may-have-run"
 	VerdictRan        Verdict = "ran"
 )
 
-// VerdictHeader is the answer header that carries a Verdict.
+// VerdictHeader is the response header that carries a Verdict.
 const VerdictHeader = "Lovageyard-Verdict"
 
-// Headers that the system's parties exchange besides VerdictHeader.
+// Further headers between callers, entry instances and backend servers.
 const (
-	// SendBeforeHeader bounds when a request may begin to run, in milliseconds since 1970.
+	// SendBeforeHeader is the latest time at which a request may begin to run, in Unix milliseconds.
 	SendBeforeHeader    = "Lovageyard-Send-Before-Ms"
 	DeadlineHeader      = "Lovageyard-Deadline-Ms"
 	LoadHeader          = "Lovageyard-Load"
@@ -25,20 +26,21 @@
 	SiteHeader          = "Lovageyard-Site"
 )
 
-// RequestError is a failure with the verdict on the request that met it.
+// RequestError is the failure of a request, with its verdict.
 type RequestError struct {
 	Verdict Verdict
 	Reason  string
 	Cause   error
-	// Broken says that the server broke off the connection while it had the request.
+	// ConnectionLost means that the server closed the connection before it had responded.
 	ConnectionLost bool
-	// Ended says that the server has ended: its port refuses connections, or is another's.
+	// ServerExited means that the server is not running any more: its port refuses connections or
+	// belongs to another server.
 	ServerExited bool
-	// Withheld says that nothing was sent, as the server had asked for no more.
+	// Throttled means that nothing was sent, because the server had signaled backpressure.
 	Throttled bool
 }
 
-// Error returns the reason and the cause.
+// Error returns the reason, followed by the cause if there is one.
 func (e *RequestError) Error() string {
 	if e.Cause == nil {
 		return e.Reason
@@ -46,7 +48,7 @@
 	return e.Reason + ": " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, which may be nil.
 func (e *RequestError) Unwrap() error {
 	return e.Cause
 }
@@ -56,12 +58,13 @@
 	return &RequestError{Verdict: VerdictNotRun, Reason: reason, Cause: cause}
 }
 
-// MayHaveRun returns an error for a request whose fate is unknown.
+// MayHaveRun returns an error for a request whose outcome is unknown.
 func MayHaveRun(reason string, cause error) *RequestError {
 	return &RequestError{Verdict: VerdictMayHaveRun, Reason: reason, Cause: cause}
 }
 
-// VerdictOf returns the verdict that err carries, and VerdictMayHaveRun for an error without one.
+// VerdictOf returns the verdict of the RequestError in err's chain, or VerdictMayHaveRun if
+// there is none.
 func VerdictOf(err error) Verdict {
 	var failure *RequestError
 	if errors.As(err, &failure) {
