--- a/soak/accounts.go
+++ b/soak/accounts.go
@@ -10,64 +10,64 @@
 )
 
 const (
-	// revokeWithin is the time after which a key that was taken away runs nothing, whatever is harmed.
-	revokeWithin = 5 * time.Second
-	// lastingAccounts is the number of accounts that every configuration has.
-	lastingAccounts = 3
+	// revokeBound is the time after which a revoked key must not run anything; no fault excuses it.
+	revokeBound = 5 * time.Second
+	// permanentAccounts is the number of accounts that every configuration has.
+	permanentAccounts = 3
 )
 
-// accounts returns the client accounts of a version: some that last, and one that only this version has. There are
-// none beside an older version of the daemon, which may not know them.
-func (y *yard) accounts(version uint64) []lovageyard.Account {
-	if y.without {
+// accounts returns the client accounts of a configuration: the permanent ones, and one that only this version
+// has. There are none if an older version of the daemon runs too, which may not support them.
+func (d *deployment) accounts(version uint64) []lovageyard.Account {
+	if d.withoutAccounts {
 		return nil
 	}
-	list := []lovageyard.Account{{Name: accountOf(version)}}
-	for n := range lastingAccounts {
-		list = append(list, lovageyard.Account{Name: lastingAccount(n)})
+	list := []lovageyard.Account{{Name: versionAccount(version)}}
+	for n := range permanentAccounts {
+		list = append(list, lovageyard.Account{Name: permanentAccount(n)})
 	}
 	return list
 }
 
-func lastingAccount(n int) string {
-	return fmt.Sprint("account-", n%lastingAccounts)
+func permanentAccount(n int) string {
+	return fmt.Sprint("account-", n%permanentAccounts)
 }
 
-// isLasting says whether every configuration has an account.
-func isLasting(account string) bool {
-	for n := range lastingAccounts {
-		if lastingAccount(n) == account {
+// isPermanent reports whether every configuration has the account.
+func isPermanent(account string) bool {
+	for n := range permanentAccounts {
+		if permanentAccount(n) == account {
 			return true
 		}
 	}
 	return false
 }
 
-// accountOf returns the account that only one version has.
-func accountOf(version uint64) string {
+// versionAccount returns the name of the account that only one version of the configuration has.
+func versionAccount(version uint64) string {
 	return fmt.Sprint("account-of-version-", version)
 }
 
-// setKey sets a key of an account, and a forged account beside it.
-func (y *yard) setKey(h http.Header, account string) {
-	if y.without {
+// setKey sets a key of an account, and a forged account header that instances must replace.
+func (d *deployment) setKey(h http.Header, account string) {
+	if d.withoutAccounts {
 		return
 	}
 	fake.SetKey(h, fake.KeysOf(account)[0])
 	h.Set("X-Tenant", "forged")
 }
 
-// probeTaken asks an instance with the key that the last configuration took away.
-func (c *crowd) probeTaken(client *http.Client, address string, version uint64, accepted time.Time) {
-	if c.yard.without || version == 0 {
+// probeRevoked sends a request with the key that the newest configuration has revoked.
+func (c *callerPool) probeRevoked(client *http.Client, address string, version uint64, accepted time.Time) {
+	if c.deployment.withoutAccounts || version == 0 {
 		return
 	}
-	late := time.Since(accepted) > revokeWithin
-	o := c.sendAs(client, accountOf(version), late, address, http.MethodGet, lookUpPrefix+"x", "", false, probeTimeout)
-	c.check.Ended(o)
+	revoked := time.Since(accepted) > revokeBound
+	o := c.sendAs(client, versionAccount(version), revoked, address, http.MethodGet, lookUpPrefix+"x", "", false, probeTimeout)
+	c.check.RecordOutcome(o)
 }
 
-// Identified checks what a server is told of a request's caller.
+// Identified checks the account that a server receives for a request, and that it never receives the key.
 func (c *checker) Identified(server, id, account string, showsKey bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,34 +77,35 @@
 	}
 	c.counts["judged requests for accounts"]++
 	if showsKey || account != sent.name {
-		c.violate("server %s got %s as of account %q, sent by %q; key shown: %v", server, id, account, sent.name, showsKey)
+		c.violationf("server %s got %s as of account %q, sent by %q; key shown: %v", server, id, account, sent.name, showsKey)
 	}
-	if sent.taken {
-		c.violate("server %s got %s, whose key was taken away more than %s before", server, id, revokeWithin)
+	if sent.revoked {
+		c.violationf("server %s got %s, whose key was revoked more than %s before", server, id, revokeBound)
 	}
 }
 
-// sentAs is the account that a request was sent by, and whether its key had been taken away for so long that it may not
-// run.
-type sentAs struct {
-	name  string
-	taken bool
+// sentAccount is the account that a request was sent with. revoked means that its key was revoked more than
+// revokeBound before, so that the request must not run.
+type sentAccount struct {
+	name    string
+	revoked bool
 }
 
-// SendAs notes a request's account before it is sent.
-func (c *checker) SendAs(id string, s sentAs) {
+// RecordAccount records a request's account. It is called before the request is sent.
+func (c *checker) RecordAccount(id string, s sentAccount) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.accounts[id] = s
-	if s.taken {
+	if s.revoked {
 		c.counts["judged requests with keys taken away"]++
 	}
 }
 
-// checkKnown checks that a request of a lasting account is not told that its key is unknown; the caller holds the lock.
-func (c *checker) checkKnown(o outcome) {
+// checkKeyAccepted checks that a request of a permanent account is not refused for an unknown key; the caller
+// holds the lock.
+func (c *checker) checkKeyAccepted(o outcome) {
 	sent, known := c.accounts[o.ID]
-	if known && o.Status == http.StatusUnauthorized && isLasting(sent.name) {
-		c.violate("%s of %s was told by %s that its key is unknown", o.ID, sent.name, o.Instance)
+	if known && o.Status == http.StatusUnauthorized && isPermanent(sent.name) {
+		c.violationf("%s of %s was refused by %s, as if its key is unknown", o.ID, sent.name, o.Instance)
 	}
 }
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -8,42 +8,46 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Servers that ask for less in their answers, while instances are killed, paused, restarted and cut off from the
-// store. No fault harms the ways to servers, so that it is known what each instance was told.
+// Servers that signal backpressure in their answers. The plan combines them with faults of instances and of the
+// store, but not of the links to servers, so that the notices that each instance has received are known.
 const (
 	limitServer    kind = "limit-server"
 	backOffServer  kind = "back-off-server"
 	leaveInAnswers kind = "leave-in-answers"
 )
 
-// backpressureKinds are the kinds of such a plan; the last three are drawn as often as all others.
+// backpressureKinds are the kinds of such a plan. The last three, the backpressure itself, are drawn at least
+// as often as all others together.
 var backpressureKinds = []kind{
-	pauseInstance, killInstance, restartInstance, cutFromStore, storeDown, storeSilent, storeSlow, storeForgets, configure, drainDomain, replaceServer, burst,
+	pauseInstance, killInstance, restartInstance, cutFromStore, storeDown, storeSilent, storeSlow, storeDropsHistory, configure, drainDomain, replaceServer, burst,
 	limitServer, backOffServer, leaveInAnswers,
 }
 
 const (
 	backpressureStream = 4
-	// toldAfter is the time after an answer from which its instance has to act on it.
-	toldAfter = time.Second
-	// leaveToldBound is the time after an answer from which its server gets nothing more from the instance.
-	leaveToldBound = 2500 * time.Millisecond
-	// Bound of a limit: from limitAfter on, limitExcess times what it allows in limitWindow, and limitSlack.
+	// noticeDelay is the time after an answer in which its instance must apply the notice in it.
+	noticeDelay = time.Second
+	// leaveNoticeBound is the time after an answer that says that its server is leaving from which the
+	// instance must not send the server any requests.
+	leaveNoticeBound = 2500 * time.Millisecond
+	// Check of a rate limit: from limitAfter after it was announced, a server may get limitExcess times what
+	// the limit allows in a limitWindow, plus limitSlack.
 	limitAfter  = 4 * time.Second
 	limitWindow = 4 * time.Second
 	limitExcess = 1.5
 	limitSlack  = 5
-	// backoffSends is how many requests of an instance may reach a server in a backoff.
+	// backoffSends is the number of requests of each instance that may reach a server during a backoff.
 	backoffSends = 2
-	// limitsFor is how long a server names a limit, and backoffFor how long it turns requests away.
-	limitsFor  = 10 * time.Second
-	backoffFor = 4 * time.Second
+	// limitDuration is the time for which a server announces a limit, and backoffDuration that for which it
+	// rejects requests.
+	limitDuration   = 10 * time.Second
+	backoffDuration = 4 * time.Second
 )
 
-// serverLimits are the limits that servers name, in requests a second.
+// serverLimits are the limits that servers announce, in requests a second.
 var serverLimits = []float64{0, 0.5, 2, 6.5}
 
-// backpressurePlan draws faults of instances and of the store, planned work, and servers that ask for less.
+// backpressurePlan draws faults of instances and of the store, planned operations, and backpressure of servers.
 func backpressurePlan(seed uint64, span time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, backpressureStream))
 	var plan []fault
@@ -53,106 +57,108 @@
 			list = backpressureKinds[len(backpressureKinds)-3:]
 		}
 		plan = append(plan, fault{
-			At: at, Kind: list[random.IntN(len(list))], Target: random.IntN(1 << 16), For: time.Duration(500+random.IntN(3500)) * time.Millisecond,
+			At: at, Kind: list[random.IntN(len(list))], Target: random.IntN(1 << 16), Duration: time.Duration(500+random.IntN(3500)) * time.Millisecond,
 		})
 	}
-	return slices.DeleteFunc(plan, func(f fault) bool { return f.At+f.For > span })
+	return slices.DeleteFunc(plan, func(f fault) bool { return f.At+f.Duration > span })
 }
 
-// constrain has a server ask for less; a server asks for one thing at a time.
-func (y *yard) constrain(b *backend, f fault) error {
-	y.mu.Lock()
-	if b.gone || b.constrained {
-		y.mu.Unlock()
+// applyBackpressure has a server signal backpressure for some time. A server has at most one such fault at
+// a time.
+func (d *deployment) applyBackpressure(b *backend, f fault) error {
+	d.mu.Lock()
+	if b.removed || b.hasBackpressure {
+		d.mu.Unlock()
 		return nil
 	}
-	b.constrained = true
-	y.mu.Unlock()
+	b.hasBackpressure = true
+	d.mu.Unlock()
 	defer func() {
-		y.mu.Lock()
-		defer y.mu.Unlock()
-		b.constrained = false
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		b.hasBackpressure = false
 	}()
 	switch f.Kind {
 	case limitServer:
 		b.SetLimit(serverLimits[f.Target%len(serverLimits)])
-		time.Sleep(limitsFor)
+		time.Sleep(limitDuration)
 		b.SetLimit(-1)
-		y.check.Lifted(b.Name)
+		d.check.RecordLimitLifted(b.Name)
 	case backOffServer:
-		b.BackOff(backoffFor)
-		time.Sleep(backoffFor)
+		b.BackOff(backoffDuration)
+		time.Sleep(backoffDuration)
 	case leaveInAnswers:
-		return y.leaveInAnswers(b)
+		return d.leaveInAnswers(b)
 	}
 	return nil
 }
 
-// leaveInAnswers lets a server leave that says so in its answers alone, while the store lists it.
-func (y *yard) leaveInAnswers(b *backend) error {
-	if err := y.addServer(b.FailureDomain); err != nil {
+// leaveInAnswers has a server leave that announces it only in its answers, while the store still lists it.
+func (d *deployment) leaveInAnswers(b *backend) error {
+	if err := d.addServer(b.FailureDomain); err != nil {
 		return err
 	}
-	y.mu.Lock()
-	b.gone = true
-	y.mu.Unlock()
+	d.mu.Lock()
+	b.removed = true
+	d.mu.Unlock()
 	b.Leave()
-	time.Sleep(2 * serverStay)
-	y.store.RemoveServer(b.Name)
+	time.Sleep(2 * serverLeaveTime)
+	d.store.RemoveServer(b.Name)
 	return nil
 }
 
-// way is that from an instance to a server.
-type way struct {
+// link is a pair of an instance and a server that it sends requests to.
+type link struct {
 	server, instance string
 }
 
-// pendingNotice is what a server's answer to a request asked for.
+// pendingNotice is the notice in a server's answer to a request that has not ended at the caller yet.
 type pendingNotice struct {
 	server string
 	notice lovageyard.Notice
 	at     time.Time
 }
 
-// backoff is a time in which an instance was asked to send nothing.
+// backoff is a period in which a server has asked an instance to send nothing.
 type backoff struct {
-	asked, until time.Time
-	sends        int
+	requestedAt, until time.Time
+	sends              int
 }
 
-// notices is what servers have asked for, and what they got.
+// notices holds the backpressure that servers have signalled, and the requests that they have received.
 type notices struct {
-	// pending are those of answers whose request has not ended yet.
+	// pending holds the notices of answers by request, until the caller has received an answer.
 	pending map[string][]pendingNotice
-	// leaving and limited hold since when an instance has passed on an answer that says so.
-	leaving  map[way]time.Time
-	limited  map[way]time.Time
-	backoffs map[way]backoff
-	// limits holds the largest limit that each server has named of late, and since when it names any.
+	// leaving and limited hold the time when an instance first forwarded an answer with such a notice.
+	leaving  map[link]time.Time
+	limited  map[link]time.Time
+	backoffs map[link]backoff
+	// limits holds the largest limit that each server has announced recently, and namedAt the time when it
+	// announced the first one.
 	limits   map[string]float64
 	namedAt  map[string]time.Time
 	arrivals map[string][]time.Time
-	// began is when the present life of each instance began.
-	began map[string]time.Time
+	// startedAt is the start of each instance's current incarnation.
+	startedAt map[string]time.Time
 }
 
 func newNotices() notices {
 	return notices{
-		pending: make(map[string][]pendingNotice), leaving: make(map[way]time.Time), limited: make(map[way]time.Time), backoffs: make(map[way]backoff),
-		limits: make(map[string]float64), namedAt: make(map[string]time.Time), arrivals: make(map[string][]time.Time), began: make(map[string]time.Time),
+		pending: make(map[string][]pendingNotice), leaving: make(map[link]time.Time), limited: make(map[link]time.Time), backoffs: make(map[link]backoff),
+		limits: make(map[string]float64), namedAt: make(map[string]time.Time), arrivals: make(map[string][]time.Time), startedAt: make(map[string]time.Time),
 	}
 }
 
-// Asked notes what the answer to a request asks for.
+// Asked records the notice in a server's answer to a request.
 func (c *checker) Asked(server, id string, n lovageyard.Notice) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	c.notices.pending[id] = append(c.notices.pending[id], pendingNotice{server, n, now})
-	to := way{server, c.sender[id]}
+	to := link{server, c.sender[id]}
 	if known := c.notices.backoffs[to]; n.Backoff > 0 && now.Add(n.Backoff).After(known.until) {
 		if now.After(known.until) {
-			known = backoff{asked: now}
+			known = backoff{requestedAt: now}
 		}
 		known.until = now.Add(n.Backoff)
 		c.notices.backoffs[to] = known
@@ -166,11 +172,12 @@
 	c.notices.limits[server] = max(c.notices.limits[server], n.Limit)
 }
 
-// passed notes that an instance has passed on the answers to a request; the caller holds the lock.
-func (c *checker) passed(id string) {
+// recordDelivery records that the caller has an answer to a request, so that the instance has received the
+// notices of all servers that answered it; the caller holds the lock.
+func (c *checker) recordDelivery(id string) {
 	now := time.Now()
 	for _, w := range c.notices.pending[id] {
-		to := way{w.server, c.sender[id]}
+		to := link{w.server, c.sender[id]}
 		if _, known := c.notices.leaving[to]; !known && w.notice.Leaving {
 			c.notices.leaving[to] = now
 		}
@@ -181,54 +188,57 @@
 	delete(c.notices.pending, id)
 }
 
-// wasTold says whether an instance still knows what it was told at a time: it has not been restarted, paused or
-// killed since. The caller holds the lock.
-func (c *checker) wasTold(check, instance string, at, now time.Time) bool {
-	if c.notices.began[instance].After(at) {
+// wasNotified reports whether an instance still knows a notice that it received at a time: it has not been
+// restarted, paused or killed since. The caller holds the lock.
+func (c *checker) wasNotified(check, instance string, at, now time.Time) bool {
+	if c.notices.startedAt[instance].After(at) {
 		c.counts["excused "+check]++
 		return false
 	}
-	return c.quiet(check, at, now, harmsInstance(instance))
+	return c.isUnaffected(check, at, now, affectsInstance(instance))
 }
 
-// checkNotices checks that a server gets no more than it has asked for; the caller holds the lock.
+// checkNotices checks a request that reached a server against the notices of the server; the caller holds the
+// lock.
 func (c *checker) checkNotices(server, id string, now time.Time) {
-	to := way{server, c.sender[id]}
-	if told, known := c.notices.leaving[to]; known && now.Sub(told) > leaveToldBound && c.wasTold("arrivals after an answer that leaves", to.instance, told, now) {
-		c.violate("server %s got %s from %s %s after its answer that it leaves", server, id, to.instance, now.Sub(told))
+	to := link{server, c.sender[id]}
+	if notifiedAt, known := c.notices.leaving[to]; known && now.Sub(notifiedAt) > leaveNoticeBound && c.wasNotified("arrivals after an answer that leaves", to.instance, notifiedAt, now) {
+		c.violationf("server %s got %s from %s %s after its answer that it is leaving", server, id, to.instance, now.Sub(notifiedAt))
 	}
 	c.checkBackoff(to, id, now)
 	c.checkLimit(to, id, now)
 }
 
-func (c *checker) checkBackoff(to way, id string, now time.Time) {
-	r, known := c.notices.backoffs[to]
-	if !known || now.Sub(r.asked) < toldAfter || now.After(r.until) || !c.wasTold("arrivals in a backoff", to.instance, r.asked, now) {
+// checkBackoff checks that a server gets at most backoffSends requests of an instance during a backoff.
+func (c *checker) checkBackoff(to link, id string, now time.Time) {
+	b, known := c.notices.backoffs[to]
+	if !known || now.Sub(b.requestedAt) < noticeDelay || now.After(b.until) || !c.wasNotified("arrivals in a backoff", to.instance, b.requestedAt, now) {
 		return
 	}
-	r.sends++
-	c.notices.backoffs[to] = r
-	if r.sends > backoffSends {
-		c.violate("server %s got %s from %s, request %d in a backoff that it asked for %s before", to.server, id, to.instance, r.sends, now.Sub(r.asked))
+	b.sends++
+	c.notices.backoffs[to] = b
+	if b.sends > backoffSends {
+		c.violationf("server %s got %s from %s, request %d in a backoff that it asked for %s before", to.server, id, to.instance, b.sends, now.Sub(b.requestedAt))
 	}
 }
 
-func (c *checker) checkLimit(to way, id string, now time.Time) {
-	told, known := c.notices.limited[to]
-	named := c.notices.namedAt[to.server]
-	if !known || named.IsZero() || now.Sub(told) < toldAfter || !c.wasTold("arrivals at a limit", to.instance, told, now) {
+// checkLimit checks that a server gets no more than its limit from all instances together.
+func (c *checker) checkLimit(to link, id string, now time.Time) {
+	notifiedAt, known := c.notices.limited[to]
+	announcedAt := c.notices.namedAt[to.server]
+	if !known || announcedAt.IsZero() || now.Sub(notifiedAt) < noticeDelay || !c.wasNotified("arrivals at a limit", to.instance, notifiedAt, now) {
 		return
 	}
-	arrivals := append(within(c.notices.arrivals[to.server], limitWindow, now), now)
+	arrivals := append(recent(c.notices.arrivals[to.server], limitWindow, now), now)
 	c.notices.arrivals[to.server] = arrivals
 	limit := c.notices.limits[to.server]
-	if most := limitExcess*limit*limitWindow.Seconds() + limitSlack; now.Sub(named) > limitAfter && float64(len(arrivals)) > most {
-		c.violate("server %s, which names a limit of %v, got %s, request %d in %s", to.server, limit, id, len(arrivals), limitWindow)
+	if allowed := limitExcess*limit*limitWindow.Seconds() + limitSlack; now.Sub(announcedAt) > limitAfter && float64(len(arrivals)) > allowed {
+		c.violationf("server %s, which announced a limit of %v, got %s, request %d in %s", to.server, limit, id, len(arrivals), limitWindow)
 	}
 }
 
-// Lifted notes that a server names no limit any more.
-func (c *checker) Lifted(server string) {
+// RecordLimitLifted records that a server no longer announces a limit.
+func (c *checker) RecordLimitLifted(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.notices.namedAt, server)
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -16,81 +16,82 @@
 	"lovageyard.example/lovageyard/platform/fake"
 )
 
-// Habits of callers.
+// Behaviour of callers.
 const (
-	callerPause   = 40 * time.Millisecond
-	callerTimeout = 4 * time.Second
-	callerKeys    = 40
-	lookUpKeep    = time.Second
-	probeEvery    = 400 * time.Millisecond
-	probeTimeout  = 2 * time.Second
+	requestPause   = 40 * time.Millisecond
+	callerTimeout  = 4 * time.Second
+	affinityKeys   = 40
+	lookUpLifetime = time.Second
+	probeInterval  = 400 * time.Millisecond
+	probeTimeout   = 2 * time.Second
 )
 
-// crowd is all callers of a run.
-type crowd struct {
-	yard    *yard
-	check   *checker
-	run     string
-	cancel  context.CancelFunc
-	context context.Context
-	calling sync.WaitGroup
-	numbers atomic.Int64
-	busy    atomic.Bool
-	// served and sent count the requests since Mark.
+// callerPool is all callers of a run, and the prober of configuration versions.
+type callerPool struct {
+	deployment *deployment
+	check      *checker
+	run        string
+	cancel     context.CancelFunc
+	context    context.Context
+	running    sync.WaitGroup
+	numbers    atomic.Int64
+	burst      atomic.Bool
+	// served and sent count the requests since ResetCounts.
 	served, sent atomic.Int64
 }
 
-func newCrowd(y *yard, check *checker, run string, callers int) *crowd {
-	c := &crowd{yard: y, check: check, run: run}
+func newCallerPool(d *deployment, check *checker, run string, callers int) *callerPool {
+	c := &callerPool{deployment: d, check: check, run: run}
 	c.context, c.cancel = context.WithCancel(context.Background())
 	for n := range callers {
-		c.calling.Go(func() { c.call(n) })
+		c.running.Go(func() { c.sendRequests(n) })
 	}
-	c.calling.Go(c.probe)
+	c.running.Go(c.probe)
 	return c
 }
 
-// Close ends the callers and waits for their requests.
-func (c *crowd) Close() {
+// Close stops the callers and waits for the requests in flight.
+func (c *callerPool) Close() {
 	c.cancel()
-	c.calling.Wait()
+	c.running.Wait()
 }
 
-// Mark begins to count anew.
-func (c *crowd) Mark() {
+// ResetCounts sets the counts of sent and served requests to 0.
+func (c *callerPool) ResetCounts() {
 	c.served.Store(0)
 	c.sent.Store(0)
 }
 
-// call sends one request after the other, over connections that it keeps.
-func (c *crowd) call(n int) {
+// sendRequests is the loop of one caller: it sends one request after the other over persistent connections,
+// to instances from look-ups that it caches. A third of the requests are not idempotent.
+func (c *callerPool) sendRequests(n int) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	region := domains[n%len(domains)].region
 	var addresses []string
-	var learned time.Time
+	var lookedUpAt time.Time
 	for c.context.Err() == nil {
-		if len(addresses) == 0 || time.Since(learned) > lookUpKeep {
+		if len(addresses) == 0 || time.Since(lookedUpAt) > lookUpLifetime {
 			if found := c.lookUp(client, region); len(found) > 0 {
-				addresses, learned = found, time.Now()
+				addresses, lookedUpAt = found, time.Now()
 			}
 		}
 		if len(addresses) > 0 {
 			unsafe := rand.IntN(3) == 0
-			c.request(client, lastingAccount(n), addresses[rand.IntN(len(addresses))], unsafe)
+			c.request(client, permanentAccount(n), addresses[rand.IntN(len(addresses))], unsafe)
 		}
-		pause := callerPause
-		if c.busy.Load() {
+		pause := requestPause
+		if c.burst.Load() {
 			pause /= 8
 		}
 		time.Sleep(pause)
 	}
 }
 
-// lookUp asks any instance where to connect.
-func (c *crowd) lookUp(client *http.Client, region string) []string {
-	p := c.yard.instances[rand.IntN(len(c.yard.instances))].place()
+// lookUp sends a look-up to a random instance and returns the addresses in the answer, nil if it failed.
+func (c *callerPool) lookUp(client *http.Client, region string) []string {
+	p := c.deployment.instances[rand.IntN(len(c.deployment.instances))].endpoints()
 	ctx, cancel := context.WithTimeout(c.context, time.Second)
 	defer cancel()
 	target := fake.LookUpURL(p.lookUps, requestHost, region, region+"-1")
@@ -110,37 +111,37 @@
 	return answer.Addresses
 }
 
-// request sends one request and tells the checker how it ended.
-func (c *crowd) request(client *http.Client, account, address string, unsafe bool) {
+// request sends one request and records its outcome.
+func (c *callerPool) request(client *http.Client, account, address string, unsafe bool) {
 	path, method, body := lookUpPrefix, http.MethodGet, ""
 	if unsafe {
 		path, method, body = chargePrefix, http.MethodPost, "amount"
 	}
 	c.sent.Add(1)
 	o := c.sendAs(client, account, false, address, method, path+"x", body, unsafe, callerTimeout)
-	c.check.Ended(o)
+	c.check.RecordOutcome(o)
 	if o.Status == http.StatusOK {
 		c.served.Add(1)
 	}
 }
 
-// send sends a request of a lasting account.
-func (c *crowd) send(client *http.Client, address, method, path, body string, unsafe bool, timeout time.Duration) outcome {
-	return c.sendAs(client, lastingAccount(0), false, address, method, path, body, unsafe, timeout)
+// send sends a request of a permanent account.
+func (c *callerPool) send(client *http.Client, address, method, path, body string, unsafe bool, timeout time.Duration) outcome {
+	return c.sendAs(client, permanentAccount(0), false, address, method, path, body, unsafe, timeout)
 }
 
-// sendAs sends a request of an account, with an identity of its own; taken says that the account's key may run
-// nothing any more.
-func (c *crowd) sendAs(
-	client *http.Client, account string, taken bool, address, method, path, body string, unsafe bool, timeout time.Duration,
+// sendAs sends a request of an account under a new request identity. revoked means that the account's key was
+// revoked more than revokeBound before, so that the request must not run.
+func (c *callerPool) sendAs(
+	client *http.Client, account string, revoked bool, address, method, path, body string, unsafe bool, timeout time.Duration,
 ) outcome {
 	id := fmt.Sprintf("%s-%d", c.run, c.numbers.Add(1))
-	c.check.Send(id, address, unsafe)
-	if !c.yard.without {
-		c.check.SendAs(id, sentAs{name: account, taken: taken})
+	c.check.RecordSend(id, address, unsafe)
+	if !c.deployment.withoutAccounts {
+		c.check.RecordAccount(id, sentAccount{name: account, revoked: revoked})
 	}
-	o := outcome{ID: id, Instance: address, Began: time.Now()}
-	// The callers' deadline goes on when the run ends, so that no request is given up early.
+	o := outcome{ID: id, Instance: address, Start: time.Now()}
+	// The timeout is independent of the run's context, so that the end of the run cancels no request.
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -151,48 +152,48 @@
 		return o
 	}
 	request.Host = requestHost
-	fake.SetHeaders(request.Header, id, fmt.Sprint(rand.IntN(callerKeys)), timeout)
-	c.yard.setKey(request.Header, account)
+	fake.SetHeaders(request.Header, id, fmt.Sprint(rand.IntN(affinityKeys)), timeout)
+	c.deployment.setKey(request.Header, account)
 	response, err := client.Do(request)
-	o.At = time.Now()
+	o.End = time.Now()
 	if err != nil {
-		// A caller that gave up was not cut.
+		// A request that the caller cancelled does not count as cut.
 		o.Sent = o.Sent && ctx.Err() == nil
 		return o
 	}
 	defer response.Body.Close()
 	got, err := io.ReadAll(response.Body)
 	o.Status = response.StatusCode
-	o.Whole = err == nil
-	o.Own = fake.IsOwn(response.Header, got, id)
+	o.Complete = err == nil
+	o.Matches = fake.IsOwn(response.Header, got, id)
 	return o
 }
 
-// probe asks each instance for the route that only the newest configuration has, and for
-// the one that only the version before had.
-func (c *crowd) probe() {
+// probe sends requests to each instance on the route that only the newest version of the configuration has,
+// and on the one that only the previous version had.
+func (c *callerPool) probe() {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	before := uint64(0)
-	version, accepted := c.yard.versions()
+	previous := uint64(0)
+	version, accepted := c.deployment.versions()
 	for c.context.Err() == nil {
-		if now, at := c.yard.versions(); now != version {
-			before, version, accepted = version, now, at
+		if now, at := c.deployment.versions(); now != version {
+			previous, version, accepted = version, now, at
 		}
 		var probing sync.WaitGroup
-		for _, i := range c.yard.instances {
-			p := i.place()
+		for _, i := range c.deployment.instances {
+			p := i.endpoints()
 			probing.Go(func() {
-				c.probeTaken(client, p.caller, before, accepted)
-				for _, v := range []uint64{version, before} {
+				c.probeRevoked(client, p.caller, previous, accepted)
+				for _, v := range []uint64{version, previous} {
 					o := c.send(client, p.caller, http.MethodGet, fmt.Sprintf(versionPrefix, v), "", false, probeTimeout)
-					c.check.Ended(o)
-					if i.place().life == p.life && (v == version || o.Status == http.StatusOK) {
-						c.check.Probed(p.life, v, o.Status, accepted)
+					c.check.RecordOutcome(o)
+					if i.endpoints().incarnation == p.incarnation && (v == version || o.Status == http.StatusOK) {
+						c.check.RecordProbe(p.incarnation, v, o.Status, accepted)
 					}
 				}
 			})
 		}
 		probing.Wait()
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 	}
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -8,44 +8,45 @@
 	"time"
 )
 
-// Bounds that are checked, with room for a busy machine.
+// Bounds that are checked, with a margin for a busy machine.
 const (
-	// quietBefore is how long before an event nothing that counts for a bound in time may have
-	// been harmed; a pause of the whole machine would break any bound.
-	quietBefore = 5 * time.Second
-	// leaveBound is the time after which a server or failure domain that leaves gets nothing.
+	// quietPeriod is the time before an event in which no relevant fault may have been in effect for a
+	// time bound to be checked. A process that was just paused can't meet any bound.
+	quietPeriod = 5 * time.Second
+	// leaveBound is the time after which a leaving server or drained failure domain must get no requests.
 	leaveBound = 4 * time.Second
-	// applyBound is the time after which an instance applies a configuration.
+	// applyBound is the time in which an instance must apply a configuration.
 	applyBound = 5 * time.Second
-	// coldWindow and retryWindow are the spans of the bounds on cold servers and on repeats.
+	// coldWindow and retryWindow are the windows of the limits on cold servers and on retries.
 	coldWindow  = time.Second
 	retryWindow = 10 * time.Second
-	// maxViolations bounds what is reported.
+	// maxViolations is the maximum number of violations that are reported.
 	maxViolations = 50
 )
 
-// outcome is how a caller's request ended.
+// outcome is the result of a request as its caller saw it.
 type outcome struct {
 	ID       string
 	Instance string
-	// Status is 0 if no answer came.
+	// Status is 0 if there was no answer.
 	Status int
-	// Whole says that the answer came to its end, and Own that it is the request's.
-	Whole bool
-	Own   bool
-	// Sent says that the whole request was written to an established connection.
+	// Complete means that the answer was read to its end, and Matches that it belongs to the request.
+	Complete bool
+	Matches  bool
+	// Sent means that the whole request was written to an established connection.
 	Sent bool
-	At   time.Time
-	// Began is when the request was sent.
-	Began time.Time
+	End  time.Time
+	// Start is the time when the request was sent.
+	Start time.Time
 }
 
-// notRunStatuses promise that the request has not run and never will.
+// notRunStatus reports whether a status guarantees that the request has not run and never will.
 func notRunStatus(status int) bool {
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
 
-// checker holds what callers and servers saw against the promises.
+// checker compares what callers and servers observe with the system's guarantees. It is safe for concurrent
+// use, and is the observer of all servers.
 type checker struct {
 	mu        sync.Mutex
 	unsafe    map[string]bool
@@ -54,97 +55,98 @@
 	leftAt    map[string]time.Time
 	domainOf  map[string]string
 	drainedAt map[string]time.Time
-	disturbed []harm
-	// coldUntil is until when a server that has joined is cold, and coldArrivals when it got work.
+	impacts   []impact
+	// coldUntil is the end of a started server's warm-up, and coldArrivals the times of requests during it.
 	coldUntil    map[string]time.Time
 	coldArrivals map[string][]time.Time
-	// arrived counts the arrivals of each request; sends and repeats are the times of requests
-	// and of arrivals beyond the first in the last retryWindow.
-	arrived map[string]int
-	sends   []time.Time
-	repeats []time.Time
-	// nameOf names the instance that has, or had, an address, and sender the one that a request
-	// was sent to, which is the only one that passes it on.
+	// arrivalCounts counts the arrivals of each request at servers. sends and repeats are the times of requests
+	// and of arrivals after the first in the last retryWindow.
+	arrivalCounts map[string]int
+	sends         []time.Time
+	repeats       []time.Time
+	// nameOf maps the current and former addresses of instances to their names. sender is the instance that a
+	// request was sent to, which is the only one that forwards it.
 	nameOf map[string]string
 	sender map[string]string
 	served map[string]uint64
-	// deadly is the path of each attempt at a request that ends servers; ends counts these by path,
-	// thirdAt is when the last one that is allowed ended, and late counts sends later than the bound.
-	deadly map[string]string
-	// accounts holds the account that each request was sent by, if there are any.
-	accounts   map[string]sentAs
-	ends       map[string]int
-	thirdAt    map[string]time.Time
-	late       map[string]int
-	notices    notices
-	violations []string
-	counts     map[string]int
+	// poisonPaths holds the path of each attempt at a poison request. crashes counts the servers that crashed
+	// by path, crashLimitAt is the time of the last crash that is allowed, and lateSends counts the sends
+	// later than poisonBound after that.
+	poisonPaths map[string]string
+	// accounts holds the account of each request that was sent with a key.
+	accounts     map[string]sentAccount
+	crashes      map[string]int
+	crashLimitAt map[string]time.Time
+	lateSends    map[string]int
+	notices      notices
+	violations   []string
+	counts       map[string]int
 }
 
-// What a fault harms, besides a single instance, which is called by its name.
+// Values of impact.target besides the names of instances.
 const (
-	harmsStore   = "store"
-	harmsServers = "servers"
+	affectsStore   = "store"
+	affectsServers = "servers"
 )
 
-// harm is a time in which something is harmed.
-type harm struct {
-	what     string
+// impact is a period in which a fault affects a target.
+type impact struct {
+	target   string
 	from, to time.Time
 }
 
 func newChecker() *checker {
 	return &checker{
-		unsafe:       make(map[string]bool),
-		ran:          make(map[string]int),
-		refused:      make(map[string]bool),
-		leftAt:       make(map[string]time.Time),
-		domainOf:     make(map[string]string),
-		drainedAt:    make(map[string]time.Time),
-		served:       make(map[string]uint64),
-		nameOf:       make(map[string]string),
-		sender:       make(map[string]string),
-		coldUntil:    make(map[string]time.Time),
-		coldArrivals: make(map[string][]time.Time),
-		arrived:      make(map[string]int),
-		deadly:       make(map[string]string),
-		accounts:     make(map[string]sentAs),
-		ends:         make(map[string]int),
-		thirdAt:      make(map[string]time.Time),
-		late:         make(map[string]int),
-		notices:      newNotices(),
-		counts:       make(map[string]int),
+		unsafe:        make(map[string]bool),
+		ran:           make(map[string]int),
+		refused:       make(map[string]bool),
+		leftAt:        make(map[string]time.Time),
+		domainOf:      make(map[string]string),
+		drainedAt:     make(map[string]time.Time),
+		served:        make(map[string]uint64),
+		nameOf:        make(map[string]string),
+		sender:        make(map[string]string),
+		coldUntil:     make(map[string]time.Time),
+		coldArrivals:  make(map[string][]time.Time),
+		arrivalCounts: make(map[string]int),
+		poisonPaths:   make(map[string]string),
+		accounts:      make(map[string]sentAccount),
+		crashes:       make(map[string]int),
+		crashLimitAt:  make(map[string]time.Time),
+		lateSends:     make(map[string]int),
+		notices:       newNotices(),
+		counts:        make(map[string]int),
 	}
 }
 
-// violate notes a broken promise; the caller holds the lock.
-func (c *checker) violate(format string, values ...any) {
+// violationf records a violation; the caller holds the lock.
+func (c *checker) violationf(format string, values ...any) {
 	c.counts["violations"]++
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, values...))
 	}
 }
 
-// Disturb notes what a fault harms for the time it lasts.
-func (c *checker) Disturb(what string, from, to time.Time) {
+// RecordFault records that a fault affects a target for a period.
+func (c *checker) RecordFault(target string, from, to time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.disturbed = append(c.disturbed, harm{what, from, to})
+	c.impacts = append(c.impacts, impact{target, from, to})
 }
 
-// Name notes the address of an instance.
-func (c *checker) Name(address, instance string) {
+// RegisterInstance records the address and the start of an instance's new incarnation.
+func (c *checker) RegisterInstance(address, instance string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nameOf[address] = instance
-	c.notices.began[instance] = time.Now()
+	c.notices.startedAt[instance] = time.Now()
 }
 
-// quiet says whether nothing that counts was harmed in a time, and counts how often it was
-// asked; the caller holds the lock.
-func (c *checker) quiet(check string, from, to time.Time, counts func(what string) bool) bool {
-	for _, d := range c.disturbed {
-		if counts(d.what) && d.from.Before(to) && d.to.After(from) {
+// isUnaffected reports whether no fault with a relevant target was in effect in a period, and counts how
+// often a check was made or excused; the caller holds the lock.
+func (c *checker) isUnaffected(check string, from, to time.Time, relevant func(target string) bool) bool {
+	for _, i := range c.impacts {
+		if relevant(i.target) && i.from.Before(to) && i.to.After(from) {
 			c.counts["excused "+check]++
 			return false
 		}
@@ -153,28 +155,29 @@
 	return true
 }
 
-// harmsInstance returns what says whether a fault harms one instance itself.
-func harmsInstance(name string) func(string) bool {
-	return func(what string) bool { return what == name }
+// affectsInstance returns a predicate for targets: faults that affect an instance itself.
+func affectsInstance(name string) func(string) bool {
+	return func(target string) bool { return target == name }
 }
 
-// harmsHearing returns what says whether a fault keeps one instance from hearing of a change.
-func harmsHearing(name string) func(string) bool {
-	return func(what string) bool { return what == name || what == harmsStore }
+// affectsUpdates returns a predicate for targets: faults that keep an instance from receiving changes.
+func affectsUpdates(name string) func(string) bool {
+	return func(target string) bool { return target == name || target == affectsStore }
 }
 
-// mustKnow says whether an instance must act on a change by now that was made at a time: its bound
-// begins anew when a fault ends that kept it from hearing of the change, and it is excused while
-// it was harmed itself just before. It counts how often it was asked; the caller holds the lock.
-func (c *checker) mustKnow(check, instance string, changed time.Time, bound time.Duration, now time.Time) bool {
+// mustHaveApplied reports whether an instance must have applied a change by now. The bound starts at the change,
+// and again at the end of each fault that kept the instance from receiving it. The instance is excused if
+// it was affected itself within quietPeriod. Like isUnaffected it counts the checks; the caller holds the
+// lock.
+func (c *checker) mustHaveApplied(check, instance string, changed time.Time, bound time.Duration, now time.Time) bool {
 	due := changed.Add(bound)
 	for extended := true; extended; {
 		extended = false
-		for _, d := range c.disturbed {
-			if !harmsHearing(instance)(d.what) || !d.from.Before(due) || !d.to.After(changed) || !d.to.Add(bound).After(due) {
+		for _, i := range c.impacts {
+			if !affectsUpdates(instance)(i.target) || !i.from.Before(due) || !i.to.After(changed) || !i.to.Add(bound).After(due) {
 				continue
 			}
-			due = d.to.Add(bound)
+			due = i.to.Add(bound)
 			extended = true
 		}
 	}
@@ -182,138 +185,140 @@
 		c.counts["excused "+check]++
 		return false
 	}
-	return c.quiet(check, now.Add(-quietBefore), now, harmsInstance(instance))
+	return c.isUnaffected(check, now.Add(-quietPeriod), now, affectsInstance(instance))
 }
 
-// Count counts a fault or planned work that is played.
-func (c *checker) Count(k kind) {
+// CountFault counts a fault or planned operation that is started.
+func (c *checker) CountFault(k kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["played "+string(k)]++
 }
 
-// Send notes a request before it is sent to the instance at an address.
-func (c *checker) Send(id, address string, unsafe bool) {
+// RecordSend records a request. It is called before the request is sent to the instance at the address.
+func (c *checker) RecordSend(id, address string, unsafe bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unsafe[id] = unsafe
 	c.sender[id] = c.nameOf[address]
 	c.counts["sent"]++
-	c.sends = append(within(c.sends, retryWindow, time.Now()), time.Now())
+	c.sends = append(recent(c.sends, retryWindow, time.Now()), time.Now())
 }
 
-// within drops the times that lie further back than a span.
-func within(times []time.Time, span time.Duration, now time.Time) []time.Time {
-	return slices.DeleteFunc(times, func(at time.Time) bool { return now.Sub(at) > span })
+// recent removes the times that are older than a window. It modifies the slice.
+func recent(times []time.Time, window time.Duration, now time.Time) []time.Time {
+	return slices.DeleteFunc(times, func(at time.Time) bool { return now.Sub(at) > window })
 }
 
-// Joined notes that a server has just started, and is cold.
-func (c *checker) Joined(server string) {
+// RecordServerStart records that a server has just started and is cold.
+func (c *checker) RecordServerStart(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.coldUntil[server] = time.Now().Add(coldFor)
-	// What the life before got under this name is none of this one's load.
+	// Requests to the previous incarnation under this name are not part of the new one's load.
 	delete(c.coldArrivals, server)
 }
 
-// checkCold checks the bound on requests to a cold server, which holds over all instances,
-// whatever happens to them; the caller holds the lock.
+// checkCold checks the limit on requests to a cold server. It applies to all instances together and no
+// fault excuses it; the caller holds the lock.
 func (c *checker) checkCold(server, id string, now time.Time) {
 	if !now.Before(c.coldUntil[server]) {
 		return
 	}
-	arrivals := append(within(c.coldArrivals[server], coldWindow, now), now)
+	arrivals := append(recent(c.coldArrivals[server], coldWindow, now), now)
 	c.coldArrivals[server] = arrivals
 	c.counts["judged arrivals while cold"]++
-	if most := coldRate*coldExcess + coldSlack; len(arrivals) > int(most) {
-		c.violate("cold server %s got %s, request %d in %s", server, id, len(arrivals), coldWindow)
+	if limit := coldRate*coldExcess + coldSlack; len(arrivals) > int(limit) {
+		c.violationf("cold server %s got %s, request %d in %s", server, id, len(arrivals), coldWindow)
 	}
 }
 
-// checkRepeats checks the budget of repeats that all instances share; the caller holds the lock.
+// checkRepeats checks the retry budget that all instances share; the caller holds the lock.
 func (c *checker) checkRepeats(server, id string, now time.Time) {
-	c.arrived[id]++
-	if c.arrived[id] < 2 {
+	c.arrivalCounts[id]++
+	if c.arrivalCounts[id] < 2 {
 		return
 	}
 	c.counts["repeats"]++
-	c.repeats = append(within(c.repeats, retryWindow, now), now)
-	c.sends = within(c.sends, retryWindow, now)
-	if most := retryRatio*float64(len(c.sends)) + retrySlack; float64(len(c.repeats)) > most {
-		c.violate("server %s got %s again, repeat %d in %s with %d requests", server, id, len(c.repeats), retryWindow, len(c.sends))
+	c.repeats = append(recent(c.repeats, retryWindow, now), now)
+	c.sends = recent(c.sends, retryWindow, now)
+	if limit := retryRatio*float64(len(c.sends)) + retrySlack; float64(len(c.repeats)) > limit {
+		c.violationf("server %s got %s again, repeat %d in %s with %d requests", server, id, len(c.repeats), retryWindow, len(c.sends))
 	}
 }
 
-// Arrived checks that a server that left, or whose failure domain is drained, gets nothing.
+// Arrived checks a request that reached a server against the limits of the server, and that the server has
+// not left and its failure domain is not drained.
 func (c *checker) Arrived(server, id string) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, known := c.unsafe[id]; !known {
-		c.violate("server %s got %s, which nobody sent", server, id)
+		c.violationf("server %s got %s, which nobody sent", server, id)
 	}
 	c.checkCold(server, id, now)
 	c.checkRepeats(server, id, now)
 	sender := c.sender[id]
-	c.checkDeadly(server, id, now)
+	c.checkPoison(server, id, now)
 	c.checkNotices(server, id, now)
 	left, leaves := c.leftAt[server]
-	if leaves && now.Sub(left) > leaveBound && c.mustKnow("arrivals after leaving", sender, left, leaveBound, now) {
-		c.violate("server %s got %s from %s %s after it left", server, id, sender, now.Sub(left))
+	if leaves && now.Sub(left) > leaveBound && c.mustHaveApplied("arrivals after leaving", sender, left, leaveBound, now) {
+		c.violationf("server %s got %s from %s %s after it left", server, id, sender, now.Sub(left))
 	}
 	drained, drains := c.drainedAt[c.domainOf[server]]
-	if drains && now.Sub(drained) > leaveBound && c.mustKnow("arrivals after a drain", sender, drained, leaveBound, now) {
-		c.violate("server %s got %s from %s %s after its failure domain was drained", server, id, sender, now.Sub(drained))
+	if drains && now.Sub(drained) > leaveBound && c.mustHaveApplied("arrivals after a drain", sender, drained, leaveBound, now) {
+		c.violationf("server %s got %s from %s %s after its failure domain was drained", server, id, sender, now.Sub(drained))
 	}
 }
 
-// Deadly notes the path of an attempt at a request that ends servers.
-func (c *checker) Deadly(id, path string) {
+// RecordPoison records the path of an attempt at a poison request.
+func (c *checker) RecordPoison(id, path string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadly[id] = path
+	c.poisonPaths[id] = path
 }
 
-// DeadlyEnded notes that a server ended under a request.
-func (c *checker) DeadlyEnded(path string) {
+// RecordCrash records that a poison request crashed a server.
+func (c *checker) RecordCrash(path string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ends[path]++
+	c.crashes[path]++
 	c.counts["servers ended by requests"]++
-	if c.ends[path] == deadlyEnds {
-		c.thirdAt[path] = time.Now()
+	if c.crashes[path] == poisonCrashLimit {
+		c.crashLimitAt[path] = time.Now()
 	}
 }
 
-// checkDeadly checks that a request that ended servers goes to no more; the caller holds the lock.
-func (c *checker) checkDeadly(server, id string, now time.Time) {
-	path := c.deadly[id]
-	third, stopped := c.thirdAt[path]
-	if !stopped || now.Sub(third) <= deadlyBound || !c.mustKnow("sends of deadly requests", c.sender[id], third, deadlyBound, now) {
+// checkPoison checks that a poison request is sent to no more servers once it must be quarantined; the caller
+// holds the lock.
+func (c *checker) checkPoison(server, id string, now time.Time) {
+	path := c.poisonPaths[id]
+	reachedAt, reached := c.crashLimitAt[path]
+	if !reached || now.Sub(reachedAt) <= poisonBound || !c.mustHaveApplied("sends of deadly requests", c.sender[id], reachedAt, poisonBound, now) {
 		return
 	}
-	c.late[path]++
-	if c.late[path] > deadlySends {
-		c.violate("server %s got %s, send %d of a request that had ended %d servers %s before", server, id, c.late[path], c.ends[path], now.Sub(third))
+	c.lateSends[path]++
+	if c.lateSends[path] > poisonLateSends {
+		c.violationf("server %s got %s, send %d of a request that had crashed %d servers %s before", server, id, c.lateSends[path], c.crashes[path], now.Sub(reachedAt))
 	}
 }
 
-// Ran checks that a request that was refused never runs, and a charge not twice.
+// Ran checks that a request that was refused as not run never runs, and that no charge runs twice.
 func (c *checker) Ran(server, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ran[id]++
 	c.counts["ran"]++
 	if c.refused[id] {
-		c.violate("%s ran at %s after it had been refused as not run", id, server)
+		c.violationf("%s ran at %s after it had been refused as not run", id, server)
 	}
 	if c.unsafe[id] && c.ran[id] > 1 {
-		c.violate("%s, which must not run twice, ran again at %s", id, server)
+		c.violationf("%s, which must not run twice, ran again at %s", id, server)
 	}
 }
 
-// Ended checks what the caller got.
-func (c *checker) Ended(o outcome) {
+// RecordOutcome checks the answer that a caller received, and that no request was cut without a fault.
+func (c *checker) RecordOutcome(o outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -322,48 +327,48 @@
 	default:
 		c.counts[fmt.Sprint(o.Status)]++
 	}
-	if o.Status >= 200 && o.Status < 300 && (!o.Whole || !o.Own) {
-		c.violate("%s got a success that is not its own whole answer from %s", o.ID, o.Instance)
+	if o.Status >= 200 && o.Status < 300 && (!o.Complete || !o.Matches) {
+		c.violationf("%s got a success that is not its own whole answer from %s", o.ID, o.Instance)
 	}
 	if o.Status != 0 {
-		c.passed(o.ID)
+		c.recordDelivery(o.ID)
 	}
-	c.checkKnown(o)
+	c.checkKeyAccepted(o)
 	if notRunStatus(o.Status) {
 		c.refused[o.ID] = true
 		if c.ran[o.ID] > 0 {
-			c.violate("%s was refused as not run by %s, but has run", o.ID, o.Instance)
+			c.violationf("%s was refused as not run by %s, but has run", o.ID, o.Instance)
 		}
 	}
-	judged := c.quiet("requests for cuts", o.Began.Add(-quietBefore), o.At, harmsInstance(c.nameOf[o.Instance]))
-	if judged && o.Status == 0 && o.Sent && c.ran[o.ID] > 0 {
-		c.violate("%s was cut at %s, which no fault harmed", o.ID, o.Instance)
+	checked := c.isUnaffected("requests for cuts", o.Start.Add(-quietPeriod), o.End, affectsInstance(c.nameOf[o.Instance]))
+	if checked && o.Status == 0 && o.Sent && c.ran[o.ID] > 0 {
+		c.violationf("%s was cut at %s, which no fault affected", o.ID, o.Instance)
 	}
 }
 
-// Left notes that a server said, by its entry, that it leaves.
-func (c *checker) Left(server string) {
+// RecordLeaving records that a server's entry says that it is leaving, or no longer is an entry of a server.
+func (c *checker) RecordLeaving(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leftAt[server] = time.Now()
 }
 
-// Back notes that a server's entry names it again.
-func (c *checker) Back(server string) {
+// RecordReturn records that a server's entry is valid again.
+func (c *checker) RecordReturn(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.leftAt, server)
 }
 
-// Place notes the failure domain of a server.
-func (c *checker) Place(server, domain string) {
+// SetFailureDomain records the failure domain of a server.
+func (c *checker) SetFailureDomain(server, domain string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.domainOf[server] = domain
 }
 
-// Drained notes that a failure domain is drained, or taken back.
-func (c *checker) Drained(domain string, drained bool) {
+// SetDrained records the start or the end of a failure domain's drain.
+func (c *checker) SetDrained(domain string, drained bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if drained {
@@ -373,38 +378,39 @@
 	delete(c.drainedAt, domain)
 }
 
-// Probed takes in what one life of an instance answered on the route that only one version
-// of the configuration has; accepted is when that version was.
-func (c *checker) Probed(life string, version uint64, status int, accepted time.Time) {
+// RecordProbe checks the answer of an instance's incarnation on the route that only one version of the
+// configuration has. The instance must not go back to an older version, and must apply a version within
+// applyBound after it was accepted.
+func (c *checker) RecordProbe(incarnation string, version uint64, status int, accepted time.Time) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if status == 200 {
-		if version < c.served[life] {
-			c.violate("%s went back from version %d to %d", life, c.served[life], version)
+		if version < c.served[incarnation] {
+			c.violationf("%s went back from version %d to %d", incarnation, c.served[incarnation], version)
 		}
-		c.served[life] = max(c.served[life], version)
+		c.served[incarnation] = max(c.served[incarnation], version)
 	}
-	name, _, _ := strings.Cut(life, "/")
+	name, _, _ := strings.Cut(incarnation, "/")
 	if now.Sub(accepted) <= applyBound {
 		return
 	}
-	judged := c.mustKnow("probes of versions", name, accepted, applyBound, now)
-	if judged && status == 404 {
-		c.violate("%s does not apply version %d %s after it was accepted", life, version, now.Sub(accepted))
+	checked := c.mustHaveApplied("probes of versions", name, accepted, applyBound, now)
+	if checked && status == 404 {
+		c.violationf("%s does not apply version %d %s after it was accepted", incarnation, version, now.Sub(accepted))
 	}
 }
 
-// Recovered checks that requests are served again once all faults are over.
-func (c *checker) Recovered(served, sent int) {
+// CheckRecovery checks that at least 0.9 of the requests after the last fault were served.
+func (c *checker) CheckRecovery(served, sent int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if sent == 0 || float64(served) < 0.9*float64(sent) {
-		c.violate("after the faults only %d of %d requests were served", served, sent)
+		c.violationf("after the faults only %d of %d requests were served", served, sent)
 	}
 }
 
-// Result returns the violations and the counts.
+// Result returns the first maxViolations violations and all counters.
 func (c *checker) Result() ([]string, map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -10,196 +10,198 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Each promise is tripped by what a broken system would show.
-func TestCheckerTrips(t *testing.T) {
+// The checker must report each violation that a faulty system could show.
+func TestCheckerReportsViolations(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		want string
-		play func(c *checker)
+		name    string
+		want    string
+		trigger func(c *checker)
 	}{
 		{"a request that nobody sent", ".*nobody sent", func(c *checker) { c.Arrived("s", "x") }},
 		{"a charge twice", ".*ran again.*", func(c *checker) {
-			c.Send("x", "127.0.0.1:1", true)
+			c.RecordSend("x", "127.0.0.1:1", true)
 			c.Ran("s", "x")
 			c.Ran("s", "x")
 		}},
 		{"run after a refusal", ".*after it had been refused.*", func(c *checker) {
-			c.Send("x", "127.0.0.1:1", false)
-			c.Ended(outcome{ID: "x", Status: 503})
+			c.RecordSend("x", "127.0.0.1:1", false)
+			c.RecordOutcome(outcome{ID: "x", Status: 503})
 			c.Ran("s", "x")
 		}},
 		{"refused after a run", ".*but has run", func(c *checker) {
-			c.Send("x", "127.0.0.1:1", false)
+			c.RecordSend("x", "127.0.0.1:1", false)
 			c.Ran("s", "x")
-			c.Ended(outcome{ID: "x", Status: 429})
+			c.RecordOutcome(outcome{ID: "x", Status: 429})
 		}},
 		{"a foreign answer", ".*not its own whole answer.*", func(c *checker) {
-			c.Ended(outcome{ID: "x", Status: 200, Whole: true})
+			c.RecordOutcome(outcome{ID: "x", Status: 200, Complete: true})
 		}},
 		{"a torn answer", ".*not its own whole answer.*", func(c *checker) {
-			c.Ended(outcome{ID: "x", Status: 200, Own: true})
+			c.RecordOutcome(outcome{ID: "x", Status: 200, Matches: true})
 		}},
 		{"cut in quiet", ".*was cut.*", func(c *checker) {
 			c.Ran("s", "x")
-			c.Ended(outcome{ID: "x", Sent: true, Began: time.Now(), At: time.Now()})
+			c.RecordOutcome(outcome{ID: "x", Sent: true, Start: time.Now(), End: time.Now()})
 		}},
 		{"work for a server that left", ".*after it left", func(c *checker) {
-			c.Send("x", "127.0.0.1:1", false)
+			c.RecordSend("x", "127.0.0.1:1", false)
 			c.leftAt["s"] = time.Now().Add(-time.Minute)
 			c.Arrived("s", "x")
 		}},
 		{"a key shown to a server", ".*key shown: true", func(c *checker) {
-			c.SendAs("x", sentAs{name: "account-0"})
+			c.RecordAccount("x", sentAccount{name: "account-0"})
 			c.Identified("s", "x", "account-0", true)
 		}},
 		{"another account at a server", ".*as of account.*", func(c *checker) {
-			c.SendAs("x", sentAs{name: "account-0"})
+			c.RecordAccount("x", sentAccount{name: "account-0"})
 			c.Identified("s", "x", "forged", false)
 		}},
-		{"a key that was taken away", ".*taken away more than.*", func(c *checker) {
-			c.SendAs("x", sentAs{name: "account-0", taken: true})
+		{"a key that was taken away", ".*revoked more than.*", func(c *checker) {
+			c.RecordAccount("x", sentAccount{name: "account-0", revoked: true})
 			c.Identified("s", "x", "account-0", false)
 		}},
 		{"a lasting key told unknown", ".*its key is unknown", func(c *checker) {
-			c.SendAs("x", sentAs{name: "account-0"})
-			c.Ended(outcome{ID: "x", Status: 401})
+			c.RecordAccount("x", sentAccount{name: "account-0"})
+			c.RecordOutcome(outcome{ID: "x", Status: 401})
 		}},
 		{"work for a drained failure domain", ".*was drained", func(c *checker) {
-			c.Send("x", "127.0.0.1:1", false)
-			c.Place("s", "d")
+			c.RecordSend("x", "127.0.0.1:1", false)
+			c.SetFailureDomain("s", "d")
 			c.drainedAt["d"] = time.Now().Add(-time.Minute)
 			c.Arrived("s", "x")
 		}},
-		{"a deadly request goes on", ".*that had ended 3 servers.*", func(c *checker) {
+		{"a deadly request goes on", ".*that had crashed 3 servers.*", func(c *checker) {
 			for range 3 {
-				c.DeadlyEnded("/d")
+				c.RecordCrash("/d")
 			}
-			c.thirdAt["/d"] = time.Now().Add(-time.Minute)
+			c.crashLimitAt["/d"] = time.Now().Add(-time.Minute)
 			for i := range 4 {
 				id := fmt.Sprint(i)
-				c.Send(id, "127.0.0.1:1", false)
-				c.Deadly(id, "/d")
+				c.RecordSend(id, "127.0.0.1:1", false)
+				c.RecordPoison(id, "/d")
 				c.Arrived("s", id)
 			}
 		}},
 		{"too much for a cold server", ".*request 7 in 1s", func(c *checker) {
-			c.Joined("s")
+			c.RecordServerStart("s")
 			for i := range 7 {
 				id := fmt.Sprint(i)
-				c.Send(id, "127.0.0.1:1", false)
+				c.RecordSend(id, "127.0.0.1:1", false)
 				c.Arrived("s", id)
 			}
 		}},
 		{"too many repeats", ".*repeat 13 in 10s with 5 requests", func(c *checker) {
 			for i := range 5 {
-				c.Send(fmt.Sprint(i), "127.0.0.1:1", false)
+				c.RecordSend(fmt.Sprint(i), "127.0.0.1:1", false)
 			}
 			for range 14 {
 				c.Arrived("s", "0")
 			}
 		}},
-		{"work after an answer that leaves", ".*after its answer that it leaves", func(c *checker) {
-			c.notices.leaving[way{"s", ""}] = time.Now().Add(-3 * time.Second)
-			c.Send("x", "127.0.0.1:1", false)
+		{"work after an answer that leaves", ".*after its answer that it is leaving", func(c *checker) {
+			c.notices.leaving[link{"s", ""}] = time.Now().Add(-3 * time.Second)
+			c.RecordSend("x", "127.0.0.1:1", false)
 			c.Arrived("s", "x")
 		}},
 		{"work in a backoff", ".*request 3 in a backoff.*", func(c *checker) {
 			for i := range 3 {
 				id := fmt.Sprint(i)
-				c.Send(id, "127.0.0.1:1", false)
+				c.RecordSend(id, "127.0.0.1:1", false)
 				c.Asked("s", id, lovageyard.Notice{Backoff: time.Minute})
-				r := c.notices.backoffs[way{"s", ""}]
-				r.asked = time.Now().Add(-2 * time.Second)
-				c.notices.backoffs[way{"s", ""}] = r
+				r := c.notices.backoffs[link{"s", ""}]
+				r.requestedAt = time.Now().Add(-2 * time.Second)
+				c.notices.backoffs[link{"s", ""}] = r
 				c.Arrived("s", id)
 			}
 		}},
-		{"work beyond a limit", ".*names a limit of 0.5.* request 9 in 4s", func(c *checker) {
+		{"work beyond a limit", ".*announced a limit of 0.5.* request 9 in 4s", func(c *checker) {
 			for i := range 9 {
 				id := fmt.Sprint(i)
-				c.Send(id, "127.0.0.1:1", false)
+				c.RecordSend(id, "127.0.0.1:1", false)
 				c.Asked("s", id, lovageyard.Notice{Limited: true, Limit: 0.5})
-				c.Ended(outcome{ID: id, Status: 200, Whole: true, Own: true})
+				c.RecordOutcome(outcome{ID: id, Status: 200, Complete: true, Matches: true})
 				c.notices.namedAt["s"] = time.Now().Add(-time.Minute)
-				c.notices.limited[way{"s", ""}] = time.Now().Add(-time.Minute)
+				c.notices.limited[link{"s", ""}] = time.Now().Add(-time.Minute)
 				c.Arrived("s", id)
 			}
 		}},
 		{"a configuration that goes back", ".*went back.*", func(c *checker) {
-			c.Probed("entry/1", 5, 200, time.Now())
-			c.Probed("entry/1", 4, 200, time.Now())
+			c.RecordProbe("entry/1", 5, 200, time.Now())
+			c.RecordProbe("entry/1", 4, 200, time.Now())
 		}},
 		{"a configuration that is not applied", ".*does not apply.*", func(c *checker) {
-			c.Probed("entry/1", 5, 404, time.Now().Add(-time.Minute))
+			c.RecordProbe("entry/1", 5, 404, time.Now().Add(-time.Minute))
 		}},
-		{"no recovery", ".*only 1 of 10.*", func(c *checker) { c.Recovered(1, 10) }},
+		{"no recovery", ".*only 1 of 10.*", func(c *checker) { c.CheckRecovery(1, 10) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			checks := newChecker()
-			test.play(checks)
-			violations, _ := checks.Result()
+			check := newChecker()
+			test.trigger(check)
+			violations, _ := check.Result()
 			c.Assert(violations, qt.HasLen, 1)
 			c.Assert(violations[0], qt.Matches, test.want)
 		})
 	}
 }
 
-// A bound in time is not held against what a fault harms, and only there.
-func TestCheckerExcusesWhatAFaultHarms(t *testing.T) {
+// A fault excuses violations of time bounds, but only those of the targets that it affects and while it is in
+// effect.
+func TestCheckerExcusesEffectsOfFaults(t *testing.T) {
 	now := time.Now()
 	seconds := func(n int) time.Time { return now.Add(time.Duration(n) * time.Second) }
 	for _, test := range []struct {
-		harmed string
-		// from and to are when that was so, in seconds from now.
+		affected string
+		// from and to are the start and the end of the fault in seconds from now.
 		from, to int
-		// broken are the promises that still count, of a cut and a late version at entry-1
-		// and of work for a server that left.
-		broken int
+		// violations is the number of violations that are not excused, out of three: a cut request and a late
+		// version at entry-1, and a request to a server that left.
+		violations int
 	}{
-		{"entry-1", -1, 1, 0}, {"entry-2", -1, 1, 3}, {harmsStore, -1, 1, 3}, {harmsServers, -1, 1, 3},
-		// The server left, and the version was accepted, a minute ago.
-		{"entry-1", -61, -58, 3}, {"entry-1", -61, -2, 0}, {"entry-2", -61, -2, 3}, {harmsStore, -61, -58, 3}, {harmsStore, -61, -2, 1},
-		{harmsStore, -40, -2, 3},
+		{"entry-1", -1, 1, 0}, {"entry-2", -1, 1, 3}, {affectsStore, -1, 1, 3}, {affectsServers, -1, 1, 3},
+		// The server left and the version was accepted a minute before.
+		{"entry-1", -61, -58, 3}, {"entry-1", -61, -2, 0}, {"entry-2", -61, -2, 3}, {affectsStore, -61, -58, 3}, {affectsStore, -61, -2, 1},
+		{affectsStore, -40, -2, 3},
 	} {
-		t.Run(fmt.Sprint(test.harmed, test.from, test.to), func(t *testing.T) {
-			checks := newChecker()
-			checks.Name("127.0.0.1:1", "entry-1")
-			checks.Disturb(test.harmed, seconds(test.from), seconds(test.to))
-			checks.Send("x", "127.0.0.1:1", false)
-			checks.leftAt["s"] = now.Add(-time.Minute)
-			checks.Arrived("s", "x")
-			checks.Ran("s", "x")
-			checks.Ended(outcome{ID: "x", Instance: "127.0.0.1:1", Sent: true, Began: now, At: now})
-			checks.Probed("entry-1/3", 5, 404, now.Add(-time.Minute))
-			violations, _ := checks.Result()
-			qt.Assert(t, violations, qt.HasLen, test.broken)
+		t.Run(fmt.Sprint(test.affected, test.from, test.to), func(t *testing.T) {
+			check := newChecker()
+			check.RegisterInstance("127.0.0.1:1", "entry-1")
+			check.RecordFault(test.affected, seconds(test.from), seconds(test.to))
+			check.RecordSend("x", "127.0.0.1:1", false)
+			check.leftAt["s"] = now.Add(-time.Minute)
+			check.Arrived("s", "x")
+			check.Ran("s", "x")
+			check.RecordOutcome(outcome{ID: "x", Instance: "127.0.0.1:1", Sent: true, Start: now, End: now})
+			check.RecordProbe("entry-1/3", 5, 404, now.Add(-time.Minute))
+			violations, _ := check.Result()
+			qt.Assert(t, violations, qt.HasLen, test.violations)
 		})
 	}
 }
 
-// A server that starts again under its name while it is cold bears as much as any that has just started:
-// "cold server i-11 got 7019-1147, request 7 in 1s" counted two requests at the life before.
-func TestColdServerIsCountedByItsLife(t *testing.T) {
+// A server that restarts under the same name while it is cold may get as many requests as any that has just
+// started. The check once also counted two requests to the previous incarnation: "cold server i-11 got
+// 7019-1147, request 7 in 1s".
+func TestColdServerIsCountedByIncarnation(t *testing.T) {
 	c := qt.New(t)
 	check := newChecker()
-	for life := range 2 {
-		check.Joined("s")
+	for incarnation := range 2 {
+		check.RecordServerStart("s")
 		for n := range 6 {
-			id := fmt.Sprint(life, "-", n)
-			check.Send(id, "127.0.0.1:1", false)
+			id := fmt.Sprint(incarnation, "-", n)
+			check.RecordSend(id, "127.0.0.1:1", false)
 			check.Arrived("s", id)
 		}
 	}
-	broken, _ := check.Result()
-	c.Assert(broken, qt.HasLen, 0)
-	check.Send("more", "127.0.0.1:1", false)
+	violations, _ := check.Result()
+	c.Assert(violations, qt.HasLen, 0)
+	check.RecordSend("more", "127.0.0.1:1", false)
 	check.Arrived("s", "more")
-	broken, _ = check.Result()
-	c.Assert(broken, qt.HasLen, 1)
+	violations, _ = check.Result()
+	c.Assert(violations, qt.HasLen, 1)
 }
 
-func TestPlanIsMadeAgainFromItsSeed(t *testing.T) {
+func TestPlanIsReproducibleFromSeed(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(makePlan(7, time.Minute), qt.DeepEquals, makePlan(7, time.Minute))
 	c.Assert(makePlan(7, time.Minute), qt.Not(qt.DeepEquals), makePlan(8, time.Minute))
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	// deadlyPrefix begins the paths of requests that end each server which runs them.
-	deadlyPrefix = lookUpPrefix + "deadly/"
-	deadlyEvery  = 150 * time.Millisecond
-	// deadlyEnds is how many servers one such request may end until it has to be stopped, and deadlySends
-	// how many sends are allowed for later than deadlyBound after that.
-	deadlyEnds  = 3
-	deadlySends = 3
-	deadlyBound = 4 * time.Second
+	// poisonPrefix is the path prefix of poison requests, which crash each server that runs them.
+	poisonPrefix   = lookUpPrefix + "deadly/"
+	poisonInterval = 150 * time.Millisecond
+	// poisonCrashLimit is the number of servers that a poison request may crash before it must be
+	// quarantined, and poisonLateSends the number of sends that are allowed later than poisonBound after that.
+	poisonCrashLimit = 3
+	poisonLateSends  = 3
+	poisonBound      = 4 * time.Second
 )
 
-// sendDeadly sends one deadly request again and again, at any instance, each time as a new attempt.
-func (y *yard) sendDeadly(f fault) {
-	path := fmt.Sprint(deadlyPrefix, f.Target)
+// sendPoison repeats one poison request at random instances for the duration of the fault. Each attempt has a
+// new request identity.
+func (d *deployment) sendPoison(f fault) {
+	path := fmt.Sprint(poisonPrefix, f.Target)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: probeTimeout}
-	for end, n := time.Now().Add(f.For), 0; time.Now().Before(end); n++ {
+	for end, n := time.Now().Add(f.Duration), 0; time.Now().Before(end); n++ {
 		id := fmt.Sprintf("deadly-%d-%d", f.Target, n)
-		address := y.instances[rand.IntN(len(y.instances))].place().caller
-		y.check.Send(id, address, false)
-		y.check.Deadly(id, path)
+		address := d.instances[rand.IntN(len(d.instances))].endpoints().caller
+		d.check.RecordSend(id, address, false)
+		d.check.RecordPoison(id, path)
 		request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+path, nil)
 		if err != nil {
-			y.problem(err)
+			d.recordHarnessError(err)
 			return
 		}
 		request.Host = requestHost
 		fake.SetHeaders(request.Header, id, "deadly", probeTimeout)
-		y.setKey(request.Header, lastingAccount(0))
+		d.setKey(request.Header, permanentAccount(0))
 		if response, err := client.Do(request); err == nil {
 			_, _ = io.Copy(io.Discard, response.Body)
 			response.Body.Close()
 		}
-		time.Sleep(deadlyEvery)
+		time.Sleep(poisonInterval)
 	}
 }
 
-// makeFrail lets a server end under deadly requests; another one takes its place.
-func (y *yard) makeFrail(b *backend) {
-	b.SetDeadly(deadlyPrefix, func(path string) {
-		y.check.DeadlyEnded(path)
-		if err := y.crash(b, restartAfter); err != nil {
-			y.problem(err)
+// makeCrashable makes a server crash on poison requests; a replacement is started each time.
+func (d *deployment) makeCrashable(b *backend) {
+	b.SetDeadly(poisonPrefix, func(path string) {
+		d.check.RecordCrash(path)
+		if err := d.crash(b, restartDelay); err != nil {
+			d.recordHarnessError(err)
 		}
 	})
 }
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -14,129 +14,131 @@
 	"lovageyard.example/lovageyard/platform/fake"
 )
 
-// play begins one fault and ends it when its time is over.
-func (y *yard) play(f fault) {
-	began := time.Now()
-	what := y.harmed(f)
+// startFault starts one fault in the background, which is undone after its duration, and records what it
+// affects and for how long.
+func (d *deployment) startFault(f fault) {
+	start := time.Now()
+	target := d.affectedBy(f)
 	if !f.Kind.isPlanned() {
-		y.check.Disturb(what, began, began.Add(f.For+faultTail))
+		d.check.RecordFault(target, start, start.Add(f.Duration+impactTail))
 	}
-	y.check.Count(f.Kind)
-	y.faults.Go(func() {
-		if err := y.inject(f); err != nil {
-			y.problem(err)
+	d.check.CountFault(f.Kind)
+	d.runningFaults.Go(func() {
+		if err := d.inject(f); err != nil {
+			d.recordHarnessError(err)
 		}
-		if late := time.Since(began) - f.For - faultTail; late > 0 && !f.Kind.isPlanned() {
-			y.check.Disturb(what, began, time.Now())
+		if late := time.Since(start) - f.Duration - impactTail; late > 0 && !f.Kind.isPlanned() {
+			d.check.RecordFault(target, start, time.Now())
 		}
 	})
 }
 
-// harmed says what a fault harms.
-func (y *yard) harmed(f fault) string {
+// affectedBy returns what a fault affects: the name of an instance, affectsStore or affectsServers.
+func (d *deployment) affectedBy(f fault) string {
 	switch f.Kind {
 	case pauseInstance, killInstance, cutFromStore, narrowStore:
-		return y.instances[f.Target%len(y.instances)].name
-	case storeDown, storeSilent, storeSlow, storeLost, storeLate, storeForgets:
-		return harmsStore
+		return d.instances[f.Target%len(d.instances)].name
+	case storeDown, storeSilent, storeSlow, storeLosesAnswers, storeDelaysWrites, storeDropsHistory:
+		return affectsStore
 	}
-	return harmsServers
+	return affectsServers
 }
 
-func (y *yard) problem(err error) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.problems = append(y.problems, err.Error())
+// recordHarnessError records a failure of the soak itself.
+func (d *deployment) recordHarnessError(err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.harnessErrors = append(d.harnessErrors, err.Error())
 }
 
-// inject plays a fault from its begin to its end.
-func (y *yard) inject(f fault) error {
-	i := y.instances[f.Target%len(y.instances)]
+// inject applies a fault, waits for its duration and undoes it.
+func (d *deployment) inject(f fault) error {
+	i := d.instances[f.Target%len(d.instances)]
 	switch f.Kind {
 	case pauseInstance:
 		i.signal(syscall.SIGSTOP)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		i.signal(syscall.SIGCONT)
 	case killInstance:
 		i.signal(syscall.SIGKILL)
-		return y.restart(i)
+		return d.restart(i)
 	case restartInstance:
 		i.signal(syscall.SIGTERM)
-		return y.restart(i)
-	case storeDown, storeSilent, storeSlow, storeLost, storeLate:
-		y.store.SetTrouble(storeTrouble(f.Kind))
-		time.Sleep(f.For)
-		y.store.SetTrouble(fake.Trouble{})
-	case storeForgets:
-		y.store.Forget()
+		return d.restart(i)
+	case storeDown, storeSilent, storeSlow, storeLosesAnswers, storeDelaysWrites:
+		d.store.SetTrouble(storeTrouble(f.Kind))
+		time.Sleep(f.Duration)
+		d.store.SetTrouble(fake.Trouble{})
+	case storeDropsHistory:
+		d.store.Forget()
 	case cutFromStore:
-		return y.toxic(y.proxies[i.name], f, `{"name":"fault","type":"timeout","attributes":{"timeout":0}}`)
+		return d.addToxic(d.proxies[i.name], f, `{"name":"fault","type":"timeout","attributes":{"timeout":0}}`)
 	case delayServer:
-		return y.toxic(y.pick(f.Target).proxy, f, `{"name":"fault","type":"latency","attributes":{"latency":150,"jitter":50}}`)
+		return d.addToxic(d.pickServer(f.Target).proxy, f, `{"name":"fault","type":"latency","attributes":{"latency":150,"jitter":50}}`)
 	case silenceServer:
-		return y.toxic(y.pick(f.Target).proxy, f, `{"name":"fault","type":"timeout","stream":"downstream","attributes":{"timeout":0}}`)
+		return d.addToxic(d.pickServer(f.Target).proxy, f, `{"name":"fault","type":"timeout","stream":"downstream","attributes":{"timeout":0}}`)
 	case oneWayServer:
-		return y.toxic(y.pick(f.Target).proxy, f, `{"name":"fault","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`)
+		return d.addToxic(d.pickServer(f.Target).proxy, f, `{"name":"fault","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`)
 	case resetServer:
-		return y.reset(y.pick(f.Target).proxy)
-	case spoilAnswers, loseAnswers, doubleAnswers, failRequests, shedRequests:
-		b := y.pick(f.Target)
+		return d.resetConnections(d.pickServer(f.Target).proxy)
+	case truncateAnswers, loseAnswers, duplicateAnswers, failRequests, shedRequests:
+		b := d.pickServer(f.Target)
 		b.SetFaults(serverFaults(f.Kind))
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		b.SetFaults(fake.Faults{})
 	case crashServer:
-		return y.crash(y.pick(f.Target), f.For)
+		return d.crash(d.pickServer(f.Target), f.Duration)
 	case replaceServer:
-		return y.replace(y.pick(f.Target))
+		return d.replaceServer(d.pickServer(f.Target))
 	case drainDomain:
 		domain := domains[f.Target%len(domains)].name
-		y.store.Drain(domain)
-		y.check.Drained(domain, true)
-		time.Sleep(f.For + leaveBound)
-		y.check.Drained(domain, false)
-		y.store.Undrain(domain)
+		d.store.Drain(domain)
+		d.check.SetDrained(domain, true)
+		time.Sleep(f.Duration + leaveBound)
+		d.check.SetDrained(domain, false)
+		d.store.Undrain(domain)
 	case configure:
-		y.configure()
+		d.configure()
 	case largeConfiguration:
-		y.mu.Lock()
-		y.routes = min(y.routes+addedRoutes, mostRoutes)
-		y.mu.Unlock()
-		y.configure()
+		d.mu.Lock()
+		d.extraRoutes = min(d.extraRoutes+routesPerChange, maxExtraRoutes)
+		d.mu.Unlock()
+		d.configure()
 	case narrowStore:
-		return y.toxic(y.proxies[i.name], f, fmt.Sprintf(`{"name":"fault","type":"bandwidth","stream":"downstream","attributes":{"rate":%d}}`, narrowRate))
+		return d.addToxic(d.proxies[i.name], f, fmt.Sprintf(`{"name":"fault","type":"bandwidth","stream":"downstream","attributes":{"rate":%d}}`, narrowLinkRate))
 	case foreignEntry:
-		return y.spoilEntry(y.pick(f.Target), f.For)
+		return d.overwriteEntry(d.pickServer(f.Target), f.Duration)
 	case restartServer:
-		return y.restartServer(y.pick(f.Target))
+		return d.restartServer(d.pickServer(f.Target))
 	case replaceVersions:
-		return y.replaceVersions()
-	case deadlyRequest:
-		y.sendDeadly(f)
+		return d.replaceVersions()
+	case poisonRequest:
+		d.sendPoison(f)
 	case limitServer, backOffServer, leaveInAnswers:
-		return y.constrain(y.pick(f.Target), f)
+		return d.applyBackpressure(d.pickServer(f.Target), f)
 	case burst:
-		// Callers look at the time of bursts themselves.
-		time.Sleep(f.For)
+		// runSeed switches the callers to the higher rate.
+		time.Sleep(f.Duration)
 	}
 	return nil
 }
 
-// restart waits for the end of an instance's life and starts the next, unless another
-// fault of a series has done so.
-func (y *yard) restart(i *instance) error {
-	err := i.await()
-	time.Sleep(restartAfter)
-	y.mu.Lock()
-	defer y.mu.Unlock()
+// restart waits until an instance has exited and starts its next incarnation, unless another
+// fault of a series has already done so.
+func (d *deployment) restart(i *instance) error {
+	err := i.waitExit()
+	time.Sleep(restartDelay)
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	select {
-	case <-i.ended:
+	case <-i.exited:
 	default:
 		return err
 	}
-	if again := i.start(y.seeds()); again != nil {
-		return again
+	if startErr := i.start(d.seeds()); startErr != nil {
+		return startErr
 	}
-	y.check.Name(i.place().caller, i.name)
+	d.check.RegisterInstance(i.endpoints().caller, i.name)
 	return err
 }
 
@@ -148,7 +150,7 @@
 		return fake.Trouble{Silent: true}
 	case storeSlow:
 		return fake.Trouble{Delay: 250 * time.Millisecond}
-	case storeLost:
+	case storeLosesAnswers:
 		return fake.Trouble{LoseWrites: true}
 	}
 	return fake.Trouble{Late: time.Second}
@@ -157,11 +159,11 @@
 func serverFaults(k kind) fake.Faults {
 	const share = 0.3
 	switch k {
-	case spoilAnswers:
+	case truncateAnswers:
 		return fake.Faults{Spoil: share}
 	case loseAnswers:
 		return fake.Faults{Lose: share}
-	case doubleAnswers:
+	case duplicateAnswers:
 		return fake.Faults{Extra: share}
 	case shedRequests:
 		return fake.Faults{Shed: share}
@@ -169,82 +171,82 @@
 	return fake.Faults{Fail: share}
 }
 
-// toxic harms a link for the time of a fault.
-func (y *yard) toxic(proxy *toxiproxy.Proxy, f fault, description string) error {
+// addToxic disturbs a link for the duration of a fault. The description is a toxic of toxiproxy in JSON.
+func (d *deployment) addToxic(proxy *toxiproxy.Proxy, f fault, description string) error {
 	if _, err := proxy.Toxics.AddToxicJson(strings.NewReader(description)); err != nil {
-		// Another fault of a series harms the link already.
+		// Another fault of a series already disturbs the link.
 		return nil
 	}
-	time.Sleep(f.For)
+	time.Sleep(f.Duration)
 	return proxy.Toxics.RemoveToxic("fault")
 }
 
-// reset cuts all connections of a link and takes new ones again.
-func (y *yard) reset(proxy *toxiproxy.Proxy) error {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+// resetConnections closes all connections of a link; new ones are accepted again.
+func (d *deployment) resetConnections(proxy *toxiproxy.Proxy) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	proxy.Stop()
 	return errors.Wrap(proxy.Start(), "proxy")
 }
 
-// crash ends a server without notice; its entry lapses later, and another one starts.
-func (y *yard) crash(b *backend, lapse time.Duration) error {
-	y.mu.Lock()
-	if b.gone {
-		y.mu.Unlock()
+// crash stops a server without notice. Its entry is removed after the lapse, and a replacement starts.
+func (d *deployment) crash(b *backend, lapse time.Duration) error {
+	d.mu.Lock()
+	if b.removed {
+		d.mu.Unlock()
 		return nil
 	}
-	b.gone = true
-	y.mu.Unlock()
+	b.removed = true
+	d.mu.Unlock()
 	b.proxy.Stop()
 	b.Close()
 	time.Sleep(lapse)
-	y.store.RemoveServer(b.Name)
-	return y.addServer(b.FailureDomain)
+	d.store.RemoveServer(b.Name)
+	return d.addServer(b.FailureDomain)
 }
 
-// foreignEntries are what another program may write in the place of a server's entry.
+// foreignEntries are values that another program may write in place of a server's entry.
 var foreignEntries = []any{
 	"ready", 7, []string{}, map[string]any{}, map[string]any{"Addr": "127.0.0.1:1", "Status": map[string]any{"State": "ready"}},
 }
 
-// spoilEntry lets another program write a server's entry, and the server write it again.
-func (y *yard) spoilEntry(b *backend, lasting time.Duration) error {
-	y.mu.Lock()
-	if b.gone {
-		y.mu.Unlock()
+// overwriteEntry overwrites a server's entry with a foreign value, then restores it.
+func (d *deployment) overwriteEntry(b *backend, duration time.Duration) error {
+	d.mu.Lock()
+	if b.removed {
+		d.mu.Unlock()
 		return nil
 	}
-	b.gone = true
-	y.mu.Unlock()
-	y.store.Put("servers", b.Name, foreignEntries[len(b.Name+b.Address)%len(foreignEntries)])
-	y.check.Left(b.Name)
-	time.Sleep(lasting + leaveBound)
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.check.Back(b.Name)
-	y.store.PutServer(b.BackendServer)
-	b.gone = false
+	b.removed = true
+	d.mu.Unlock()
+	d.store.Put("servers", b.Name, foreignEntries[len(b.Name+b.Address)%len(foreignEntries)])
+	d.check.RecordLeaving(b.Name)
+	time.Sleep(duration + leaveBound)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.check.RecordReturn(b.Name)
+	d.store.PutServer(b.BackendServer)
+	b.removed = false
 	return nil
 }
 
-// restartServer ends a server and starts it again under its name, at another address.
-func (y *yard) restartServer(b *backend) error {
-	y.mu.Lock()
-	if b.gone {
-		y.mu.Unlock()
+// restartServer stops a server and starts it again under the same name at another address.
+func (d *deployment) restartServer(b *backend) error {
+	d.mu.Lock()
+	if b.removed {
+		d.mu.Unlock()
 		return nil
 	}
-	b.gone = true
-	y.mu.Unlock()
+	b.removed = true
+	d.mu.Unlock()
 	b.Close()
-	time.Sleep(restartAfter)
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	again := b.BackendServer
-	again.Life = time.Now().UnixMilli()
-	again.ColdFor = lovageyard.Duration(coldFor)
-	server, err := fake.StartServer(again, serverWork, y.check)
+	time.Sleep(restartDelay)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	restarted := b.BackendServer
+	restarted.Life = time.Now().UnixMilli()
+	restarted.ColdFor = lovageyard.Duration(coldFor)
+	server, err := fake.StartServer(restarted, serverWork, d.check)
 	if err != nil {
 		return err
 	}
@@ -254,31 +256,32 @@
 	}
 	b.proxy.Stop()
 	server.Address = proxy.Listen
-	y.check.Joined(b.Name)
-	y.store.PutServer(server.BackendServer)
-	b.Server, b.proxy, b.gone = server, proxy, false
-	y.makeFrail(b)
+	d.check.RecordServerStart(b.Name)
+	d.store.PutServer(server.BackendServer)
+	b.Server, b.proxy, b.removed = server, proxy, false
+	d.makeCrashable(b)
 	return nil
 }
 
-// replace lets a server leave: it tells so, serves on, and ends; another one starts first.
-func (y *yard) replace(b *backend) error {
-	y.mu.Lock()
-	if b.gone {
-		y.mu.Unlock()
+// replaceServer starts a replacement of a server, then has the server leave: its entry says so, it continues
+// to serve for serverLeaveTime, and is then removed.
+func (d *deployment) replaceServer(b *backend) error {
+	d.mu.Lock()
+	if b.removed {
+		d.mu.Unlock()
 		return nil
 	}
-	b.gone = true
-	y.mu.Unlock()
-	if err := y.addServer(b.FailureDomain); err != nil {
+	b.removed = true
+	d.mu.Unlock()
+	if err := d.addServer(b.FailureDomain); err != nil {
 		return err
 	}
 	leaving := b.BackendServer
 	leaving.State = lovageyard.StateLeaving
-	y.store.PutServer(leaving)
-	y.check.Left(b.Name)
+	d.store.PutServer(leaving)
+	d.check.RecordLeaving(b.Name)
 	b.Leave()
-	time.Sleep(serverStay)
-	y.store.RemoveServer(b.Name)
+	time.Sleep(serverLeaveTime)
+	d.store.RemoveServer(b.Name)
 	return nil
 }
--- a/soak/main.go
+++ b/soak/main.go
@@ -13,13 +13,13 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// Spans after the last fault.
+// Phases after the last fault: the system settles, then its share of served requests is measured.
 const (
-	settleFor  = 8 * time.Second
-	recoverFor = 3 * time.Second
+	settleTime   = 8 * time.Second
+	recoveryTime = 3 * time.Second
 )
 
-// options are the settings of a soak.
+// options are the settings of the soak.
 type options struct {
 	Seed         uint64        `default:"1" help:"Seed of the first run."`
 	Seeds        int           `default:"1" help:"Number of runs; each takes the next seed."`
@@ -52,16 +52,18 @@
 	return nil
 }
 
-// report is the result of one run.
+// report is the result of one run. harnessErrors are failures of the soak itself and processes that exited
+// unexpectedly or did not stop in time.
 type report struct {
-	seed     uint64
-	broken   []string
-	counts   map[string]int
-	problems []string
+	seed          uint64
+	violations    []string
+	counts        map[string]int
+	harnessErrors []string
 }
 
+// failed reports whether the run had a violation or an error.
 func (r report) failed() bool {
-	return len(r.broken)+len(r.problems) > 0
+	return len(r.violations)+len(r.harnessErrors) > 0
 }
 
 func main() {
@@ -79,7 +81,7 @@
 	fmt.Printf("%d runs, none failed\n", o.Seeds)
 }
 
-// run plays all seeds and returns how many failed.
+// run runs all seeds and returns the number of failed runs.
 func run(o options) (int, error) {
 	logrus.SetLevel(logrus.PanicLevel)
 	dir, err := os.MkdirTemp("", "soak")
@@ -93,7 +95,7 @@
 	}
 	failed := 0
 	for n := range o.Seeds {
-		r, err := playSeed(o, p, o.Seed+uint64(n))
+		r, err := runSeed(o, p, o.Seed+uint64(n))
 		if err != nil {
 			return failed, err
 		}
@@ -105,23 +107,23 @@
 	return failed, nil
 }
 
-// programs are the paths of the versions of the daemon; both are the same if only this one runs.
+// programs holds the paths of the daemon's versions. Both are the same unless --before names a commit.
 type programs struct {
-	now, before string
+	current, previous string
 }
 
-// buildPrograms builds the daemon into a directory, and that of an older commit if one is named.
+// buildPrograms builds the daemon into a directory, and also that of an older commit unless commit is "".
 func buildPrograms(dir, commit string) (programs, error) {
-	now, err := build(dir)
+	current, err := build(dir)
 	if err != nil || commit == "" {
-		return programs{now: now, before: now}, err
+		return programs{current: current, previous: current}, err
 	}
-	before, err := buildBefore(dir, commit)
-	return programs{now: now, before: before}, err
+	previous, err := buildPrevious(dir, commit)
+	return programs{current: current, previous: previous}, err
 }
 
-// playSeed plays one run.
-func playSeed(o options, p programs, seed uint64) (report, error) {
+// runSeed makes the plan of a seed, runs it against a new deployment and returns its report.
+func runSeed(o options, p programs, seed uint64) (report, error) {
 	out := filepath.Join(o.Out, fmt.Sprint("seed-", seed))
 	if err := os.RemoveAll(out); err != nil {
 		return report{}, err
@@ -130,20 +132,20 @@
 		return report{}, err
 	}
 	check := newChecker()
-	y, err := newYard(p, out, o.Instances, o.Servers, check)
+	d, err := newDeployment(p, out, o.Instances, o.Servers, check)
 	if err != nil {
-		if y != nil {
-			y.Close()
+		if d != nil {
+			d.Close()
 		}
 		return report{}, err
 	}
-	callers := newCrowd(y, check, fmt.Sprint(seed), o.Callers)
+	callers := newCallerPool(d, check, fmt.Sprint(seed), o.Callers)
 	plan := makePlan(seed, o.Span)
 	if o.Further {
-		plan = withFurther(plan, seed, o.Span)
+		plan = addFurther(plan, seed, o.Span)
 	}
 	if o.Deadly {
-		plan = withDeadly(plan, seed, o.Span)
+		plan = addPoison(plan, seed, o.Span)
 	}
 	if o.Backpressure {
 		plan = backpressurePlan(seed, o.Span)
@@ -151,28 +153,29 @@
 	if o.Before != "" {
 		plan = versionPlan(seed, o.Span)
 	}
-	began := time.Now()
+	start := time.Now()
 	for _, f := range plan {
 		if o.Show {
 			fmt.Println(f)
 		}
-		time.Sleep(time.Until(began.Add(f.At)))
-		callers.busy.Store(f.Kind == burst)
-		y.play(f)
-	}
-	y.faults.Wait()
-	callers.busy.Store(false)
-	time.Sleep(settleFor)
-	callers.Mark()
-	time.Sleep(recoverFor)
+		time.Sleep(time.Until(start.Add(f.At)))
+		callers.burst.Store(f.Kind == burst)
+		d.startFault(f)
+	}
+	d.runningFaults.Wait()
+	callers.burst.Store(false)
+	time.Sleep(settleTime)
+	callers.ResetCounts()
+	time.Sleep(recoveryTime)
 	served, sent := callers.served.Load(), callers.sent.Load()
 	callers.Close()
-	check.Recovered(int(served), int(sent))
-	problems := y.Close()
-	broken, counts := check.Result()
-	return report{seed: seed, broken: broken, counts: counts, problems: problems}, nil
+	check.CheckRecovery(int(served), int(sent))
+	harnessErrors := d.Close()
+	violations, counts := check.Result()
+	return report{seed: seed, violations: violations, counts: counts, harnessErrors: harnessErrors}, nil
 }
 
+// printReport prints the counters of a run on one line, then its violations and errors.
 func printReport(r report) {
 	var names []string
 	for name := range r.counts {
@@ -184,7 +187,7 @@
 		fmt.Printf(" %s %d", name, r.counts[name])
 	}
 	fmt.Println()
-	for _, line := range append(r.broken, r.problems...) {
+	for _, line := range append(r.violations, r.harnessErrors...) {
 		fmt.Println("  ", line)
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -16,42 +16,42 @@
 	"github.com/pkg/errors"
 )
 
-// startWithin bounds the wait for an instance's first line.
-const startWithin = 30 * time.Second
+// startTimeout bounds the wait for the first line of an instance's output.
+const startTimeout = 30 * time.Second
 
-// endWithin bounds the wait for an instance that was asked to leave; it leaves in 2 s.
-const endWithin = 20 * time.Second
+// exitTimeout bounds the wait for an instance that was sent SIGTERM; it normally leaves in 2 s.
+const exitTimeout = 20 * time.Second
 
-// instance is one entry instance, over all its lives.
+// instance is one entry instance, over all its incarnations. Each start of its process is a new incarnation.
 type instance struct {
-	// accounts says that it is to know client accounts.
+	// accounts enables the settings for client accounts.
 	accounts bool
 	name     string
 	domain   string
 	region   string
 	program  string
-	// other is the program of the other version, if two run side by side.
-	other   string
-	logPath string
-	// store is the address at which it reaches the store.
+	// otherProgram is the program of the other version, if instances of two versions run.
+	otherProgram string
+	logPath      string
+	// store is the address of the instance's proxy to the store.
 	store string
 
-	mu       sync.Mutex
-	life     int
-	command  *exec.Cmd
-	ended    chan struct{}
-	caller   string
-	lookUps  string
-	peers    string
-	expected bool
-	faults   []string
+	mu              sync.Mutex
+	incarnation     int
+	command         *exec.Cmd
+	exited          chan struct{}
+	caller          string
+	lookUps         string
+	peers           string
+	exitExpected    bool
+	unexpectedExits []string
 }
 
-// start starts a new life and waits until it tells its addresses.
+// start starts a new incarnation and waits until it has logged its addresses.
 func (i *instance) start(seeds []string) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.life++
+	i.incarnation++
 	log, err := os.OpenFile(i.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 		"--cold-excess", fmt.Sprint(coldExcess), "--cold-slack", fmt.Sprint(coldSlack),
 	}
 	if i.accounts {
-		arguments = append(arguments, "--revoke-within", revokeWithin.String(), "--apply-within", applyBound.String())
+		arguments = append(arguments, "--revoke-within", revokeBound.String(), "--apply-within", applyBound.String())
 	}
 	if len(seeds) > 0 {
 		arguments = append(arguments, "--peer-addresses", strings.Join(seeds, ","))
@@ -73,7 +73,7 @@
 	command := exec.Command(i.program, arguments...)
 	command.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME")}
 	command.Stderr = log
-	// An instance does not outlive the soak, however that ends.
+	// The kernel kills the instance when the soak exits, also if that is killed itself.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := command.StdoutPipe()
 	if err != nil {
@@ -83,20 +83,21 @@
 		return err
 	}
 	i.command = command
-	i.expected = false
-	i.ended = make(chan struct{})
+	i.exitExpected = false
+	i.exited = make(chan struct{})
 	started := make(chan error, 1)
-	go i.follow(command, bufio.NewReader(out), log, started, i.ended)
+	go i.copyOutput(command, bufio.NewReader(out), log, started, i.exited)
 	select {
 	case err := <-started:
 		return errors.Wrap(err, i.name)
-	case <-time.After(startWithin):
+	case <-time.After(startTimeout):
 		return errors.Errorf("%s did not start", i.name)
 	}
 }
 
-// follow copies the log, and notes the addresses of the line that tells of the start.
-func (i *instance) follow(command *exec.Cmd, out *bufio.Reader, log io.WriteCloser, started chan<- error, ended chan<- struct{}) {
+// copyOutput reads the addresses from the first line of the output, then copies the output to the log until
+// the process exits. It records an exit that no fault caused.
+func (i *instance) copyOutput(command *exec.Cmd, out *bufio.Reader, log io.WriteCloser, started chan<- error, exited chan<- struct{}) {
 	defer log.Close()
 	line, err := out.ReadBytes('\n')
 	if err == nil {
@@ -113,51 +114,51 @@
 	_, _ = io.Copy(log, out)
 	err = command.Wait()
 	i.mu.Lock()
-	if !i.expected {
-		i.faults = append(i.faults, fmt.Sprintf("%s ended by itself: %v", i.name, err))
+	if !i.exitExpected {
+		i.unexpectedExits = append(i.unexpectedExits, fmt.Sprintf("%s exited unexpectedly: %v", i.name, err))
 	}
 	i.mu.Unlock()
-	close(ended)
+	close(exited)
 }
 
-// signal sends a signal to the present life.
+// signal sends a signal to the current incarnation. After SIGKILL and SIGTERM its exit is expected.
 func (i *instance) signal(s syscall.Signal) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		i.expected = true
+		i.exitExpected = true
 	}
 	if i.command != nil {
 		_ = i.command.Process.Signal(s)
 	}
 }
 
-// await waits for the end of the present life and kills it if that takes too long.
-func (i *instance) await() error {
+// waitExit waits until the current incarnation exits, and kills it after exitTimeout.
+func (i *instance) waitExit() error {
 	i.mu.Lock()
-	ended := i.ended
+	exited := i.exited
 	i.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 		return nil
-	case <-time.After(endWithin):
+	case <-time.After(exitTimeout):
 		i.signal(syscall.SIGKILL)
-		<-ended
-		return errors.Errorf("%s did not leave in %s", i.name, endWithin)
+		<-exited
+		return errors.Errorf("%s did not leave in %s", i.name, exitTimeout)
 	}
 }
 
-// place is where an instance is reached in its present life.
-type place struct {
-	instance, life         string
+// endpoints holds the addresses of an instance's current incarnation.
+type endpoints struct {
+	instance, incarnation  string
 	caller, lookUps, peers string
 }
 
-func (i *instance) place() place {
+func (i *instance) endpoints() endpoints {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return place{
-		instance: i.name, life: fmt.Sprintf("%s/%d", i.name, i.life),
+	return endpoints{
+		instance: i.name, incarnation: fmt.Sprintf("%s/%d", i.name, i.incarnation),
 		caller: i.caller, lookUps: i.lookUps, peers: i.peers,
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,11 +11,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// shortSeed is the run that is played with each test run.
-const shortSeed = 1
+// defaultSeed is the seed of tests that need no particular one.
+const defaultSeed = 1
 
-// seedsOf reads the seeds that once failed, one a line with a word on the cause.
-func seedsOf(c *qt.C, path string) []uint64 {
+// readSeeds reads a file of seeds that once failed, one a line, each followed by the cause.
+func readSeeds(c *qt.C, path string) []uint64 {
 	text, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
 	var seeds []uint64
@@ -31,44 +31,46 @@
 	return seeds
 }
 
-// A short run over real processes, and those that once failed.
-func TestSeedsKeepThePromises(t *testing.T) {
-	testSeeds(t, options{}, append(seedsOf(qt.New(t), "seeds.txt"), shortSeed))
+// A short run with the base plan, and the runs with it that once failed.
+func TestSeedsRunWithoutViolations(t *testing.T) {
+	testSeeds(t, options{}, append(readSeeds(qt.New(t), "seeds.txt"), defaultSeed))
 }
 
-// Servers that start again under their names, foreign entries, large configurations.
-func TestFurtherSeedKeepsThePromises(t *testing.T) {
-	testSeeds(t, options{Further: true}, seedsOf(qt.New(t), "seeds-further.txt"))
+// Servers that restart under the same name, foreign entries, large configurations and narrow links.
+func TestFurtherSeedsRunWithoutViolations(t *testing.T) {
+	testSeeds(t, options{Further: true}, readSeeds(qt.New(t), "seeds-further.txt"))
 }
 
-// Requests that end each server which runs them, beside all other faults.
-func TestDeadlySeedKeepsThePromises(t *testing.T) {
-	testSeeds(t, options{Deadly: true}, []uint64{shortSeed})
+// Poison requests together with the faults of the base plan.
+func TestPoisonSeedRunsWithoutViolations(t *testing.T) {
+	testSeeds(t, options{Deadly: true}, []uint64{defaultSeed})
 }
 
-// The store falls silent while all instances wait there for changes, and swallows these calls; it is back
-// soon, and nobody asks it anew. No instance hears of a change for 21 s:
-// "platform lost: store: no progress for 21.2s, after 0 bytes of the answer", "entry-1/1 does not apply
-// version 18 10.14s after it was accepted".
-func TestChangeAfterASilenceOfTheStoreIsInForceSoon(t *testing.T) {
+// The store stops answering for a short time while all instances have a pending call that waits for changes.
+// These calls are never answered. Instances that only wait for them, instead of sending new ones, receive no
+// change for 21 s: "platform lost: store: no progress for 21.2s, after 0 bytes of the answer", "entry-1/1
+// does not apply version 18 10.14s after it was accepted".
+func TestConfigurationIsAppliedSoonAfterStoreOutage(t *testing.T) {
 	o := options{Further: true, Deadly: true, Instances: 6, Servers: 10, Callers: 16, Span: 14 * time.Second}
 	testSeeds(t, o, []uint64{7123})
 }
 
-// Servers that name limits, ask for a backoff, or say only in their answers that they leave.
-func TestBackpressureSeedKeepsThePromises(t *testing.T) {
+// Servers that announce rate limits, ask for a backoff, or announce only in their answers that they leave.
+func TestBackpressureSeedRunsWithoutViolations(t *testing.T) {
 	testSeeds(t, options{Backpressure: true, Span: 12 * time.Second}, []uint64{3})
 }
 
-// versionBefore is the commit of the version that runs on instances while this one comes.
-const versionBefore = "d137270"
+// previousVersion is the commit of the version that is replaced by the current one.
+const previousVersion = "d137270"
 
-// Instances are replaced in turn by this version, and go back to the one before, while the configuration
-// changes: no change is missed or late, none goes back, and no request is cut.
-func TestTwoVersionsSideBySideKeepThePromises(t *testing.T) {
-	testSeeds(t, options{Before: versionBefore, Instances: 3, Span: 21 * time.Second}, []uint64{shortSeed})
+// Instances are replaced one by one by the current version, and then back by the previous one, while the
+// configuration changes. No change may be lost, late or reverted, and no request cut.
+func TestRollingVersionReplacementRunsWithoutViolations(t *testing.T) {
+	testSeeds(t, options{Before: previousVersion, Instances: 3, Span: 21 * time.Second}, []uint64{defaultSeed})
 }
 
+// testSeeds runs seeds and fails the test on a violation or a harness error. Unset options get values for a
+// short run.
 func testSeeds(t *testing.T, o options, seeds []uint64) {
 	c := qt.New(t)
 	p, err := buildPrograms(c.TempDir(), o.Before)
@@ -76,10 +78,10 @@
 	o.Span, o.Instances = cmp.Or(o.Span, 5*time.Second), cmp.Or(o.Instances, 4)
 	o.Servers, o.Callers, o.Out = cmp.Or(o.Servers, 6), cmp.Or(o.Callers, 8), c.TempDir()
 	for _, seed := range seeds {
-		r, err := playSeed(o, p, seed)
+		r, err := runSeed(o, p, seed)
 		c.Assert(err, qt.IsNil)
-		c.Assert(r.broken, qt.HasLen, 0, qt.Commentf("seed %d", seed))
-		c.Assert(r.problems, qt.HasLen, 0, qt.Commentf("seed %d", seed))
+		c.Assert(r.violations, qt.HasLen, 0, qt.Commentf("seed %d", seed))
+		c.Assert(r.harnessErrors, qt.HasLen, 0, qt.Commentf("seed %d", seed))
 		c.Assert(r.counts["200"] > 100, qt.IsTrue)
 	}
 }
--- a/soak/version.go
+++ b/soak/version.go
@@ -12,16 +12,16 @@
 	"github.com/pkg/errors"
 )
 
-// Changes while versions are replaced come in storms, with calm between that is longer than a change may
-// take, so that a change which is lost on one instance shows.
+// While versions are replaced, configuration changes come in bursts. The pause between bursts is longer than
+// applyBound, so that a change that one instance has lost is detected.
 const (
-	stormEvery = 700 * time.Millisecond
-	stormFor   = 3 * time.Second
-	calmFor    = applyBound + 2*time.Second
+	changeInterval  = 700 * time.Millisecond
+	changeBurstTime = 3 * time.Second
+	calmTime        = applyBound + 2*time.Second
 )
 
-// buildBefore builds the daemon of an older commit of this repository into a directory and returns its path.
-func buildBefore(dir, commit string) (string, error) {
+// buildPrevious builds the daemon of an older commit of this repository into a directory and returns its path.
+func buildPrevious(dir, commit string) (string, error) {
 	tree := filepath.Join(dir, "before")
 	if err := os.MkdirAll(tree, 0o755); err != nil {
 		return "", err
@@ -38,13 +38,13 @@
 	return buildIn(filepath.Join(tree, "lovageyardd"), filepath.Join(dir, "lovageyardd-before"))
 }
 
-// replaceVersions replaces all instances in turn by the other version, and goes back again.
-func (y *yard) replaceVersions() error {
+// replaceVersions replaces all instances one by one by the other version, and then back again.
+func (d *deployment) replaceVersions() error {
 	for range 2 {
-		for _, i := range y.instances {
+		for _, i := range d.instances {
 			i.signal(syscall.SIGTERM)
-			i.turn()
-			if err := y.restart(i); err != nil {
+			i.switchVersion()
+			if err := d.restart(i); err != nil {
 				return err
 			}
 		}
@@ -52,21 +52,21 @@
 	return nil
 }
 
-// turn makes the next life of an instance one of the other version.
-func (i *instance) turn() {
+// switchVersion makes the next incarnation of an instance run the other version.
+func (i *instance) switchVersion() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.program, i.other = i.other, i.program
+	i.program, i.otherProgram = i.otherProgram, i.program
 }
 
-// versionPlan is the replacement of all instances under storms of changes, some of them large. There are
-// no faults besides: those of the older version are none of this one's.
+// versionPlan is a plan with the replacement of all instances and bursts of configuration changes, the first
+// of each burst large. It has no other faults, since faults of the older version are not under test.
 func versionPlan(seed uint64, span time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, versionStream))
-	plan := []fault{{At: time.Second, Kind: replaceVersions, For: span - time.Second}}
-	for storm := time.Second; storm < span; storm += stormFor + calmFor {
-		plan = append(plan, fault{At: storm, Kind: largeConfiguration})
-		for at := storm + stormEvery; at < min(span, storm+stormFor); at += stormEvery/2 + time.Duration(random.Int64N(int64(stormEvery))) {
+	plan := []fault{{At: time.Second, Kind: replaceVersions, Duration: span - time.Second}}
+	for burstStart := time.Second; burstStart < span; burstStart += changeBurstTime + calmTime {
+		plan = append(plan, fault{At: burstStart, Kind: largeConfiguration})
+		for at := burstStart + changeInterval; at < min(span, burstStart+changeBurstTime); at += changeInterval/2 + time.Duration(random.Int64N(int64(changeInterval))) {
 			plan = append(plan, fault{At: at, Kind: configure})
 		}
 	}
--- a/soak/yard.go
+++ b/soak/yard.go
@@ -17,28 +17,29 @@
 	"lovageyard.example/lovageyard/platform/fake"
 )
 
-// Sizes of a deployment.
+// Sizes and timing of the deployment.
 const (
-	service      = "desk"
-	serverSlots  = 4
-	serverWork   = 20 * time.Millisecond
-	serverStay   = 6 * time.Second
-	restartAfter = 200 * time.Millisecond
-	faultTail    = 2 * time.Second
-	// What a cold server bears, and for how long: a fraction of what callers would send it.
+	service         = "desk"
+	serverSlots     = 4
+	serverWork      = 20 * time.Millisecond
+	serverLeaveTime = 6 * time.Second
+	restartDelay    = 200 * time.Millisecond
+	impactTail      = 2 * time.Second
+	// Warm-up of a cold server: its duration, and the rate in requests a second, a fraction of what callers
+	// would send.
 	coldFor  = time.Second
 	coldRate = 2
-	// Bounds that the instances are set to, so low that a run without them breaks them.
+	// Limits in the instances' settings, so low that instances that ignore them would exceed them in every run.
 	coldExcess = 1.5
 	coldSlack  = 3
 	retryRatio = 0.001
 	retrySlack = 12
 
-	// Routes that one large configuration adds, and how many there may be: 0.2 KB each.
-	addedRoutes = 1500
-	mostRoutes  = 4500
-	// narrowRate is what a narrow link carries, in KB/s.
-	narrowRate = 300
+	// Number of routes that a large configuration adds, and its maximum; a route takes 0.2 KB.
+	routesPerChange = 1500
+	maxExtraRoutes  = 4500
+	// narrowLinkRate is the bandwidth of a narrow link, in KB/s.
+	narrowLinkRate = 300
 
 	requestHost   = "calls.example"
 	lookUpPrefix  = "/look/"
@@ -50,67 +51,69 @@
 	{"north-1", "north"}, {"south-1", "south"}, {"north-2", "north"}, {"south-2", "south"},
 }
 
-// yard is a deployment: a store, backend servers and entry instances, with proxies between.
-type yard struct {
-	check     *checker
-	store     *fake.Store
-	storeHTTP *http.Server
-	instances []*instance
-	proxies   map[string]*toxiproxy.Proxy
-	faults    sync.WaitGroup
-
-	mu      sync.Mutex
-	servers []*backend
-	count   int
-	version uint64
-	// routes is how many routes the configuration has besides those that callers use.
-	routes   int
-	accepted time.Time
-	problems []string
-	// without says that there are no client accounts.
-	without bool
+// deployment is a store, backend servers and entry instances, connected through proxies.
+type deployment struct {
+	check         *checker
+	store         *fake.Store
+	storeHTTP     *http.Server
+	instances     []*instance
+	proxies       map[string]*toxiproxy.Proxy
+	runningFaults sync.WaitGroup
+
+	mu          sync.Mutex
+	servers     []*backend
+	serverCount int
+	version     uint64
+	// extraRoutes is the number of routes of the configuration that no caller uses.
+	extraRoutes   int
+	acceptedAt    time.Time
+	harnessErrors []string
+	// withoutAccounts disables client accounts.
+	withoutAccounts bool
 }
 
-// backend is a backend server behind its proxy.
+// backend is a backend server behind its proxy. removed is set while it is down, leaving or not registered.
 type backend struct {
 	*fake.Server
-	proxy *toxiproxy.Proxy
-	gone  bool
-	// constrained says that the server asks for less in its answers.
-	constrained bool
+	proxy   *toxiproxy.Proxy
+	removed bool
+	// hasBackpressure is set while the server signals backpressure in its answers.
+	hasBackpressure bool
 }
 
-func newYard(p programs, out string, instances, servers int, check *checker) (*yard, error) {
-	y := &yard{check: check, store: fake.NewStore(), proxies: make(map[string]*toxiproxy.Proxy), without: p.before != p.now}
+// newDeployment starts a deployment. The instances run the previous version if there are two. On an error
+// it may return a partial deployment, which the caller must close.
+func newDeployment(p programs, out string, instances, servers int, check *checker) (*deployment, error) {
+	d := &deployment{check: check, store: fake.NewStore(), proxies: make(map[string]*toxiproxy.Proxy), withoutAccounts: p.previous != p.current}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	y.storeHTTP = &http.Server{Handler: y.store}
-	go func() { _ = y.storeHTTP.Serve(listener) }()
-	y.configure()
+	d.storeHTTP = &http.Server{Handler: d.store}
+	go func() { _ = d.storeHTTP.Serve(listener) }()
+	d.configure()
 	for n := range servers {
-		if err := y.addServer(domains[n%len(domains)].name); err != nil {
-			return y, err
+		if err := d.addServer(domains[n%len(domains)].name); err != nil {
+			return d, err
 		}
 	}
 	for n := range instances {
 		proxy, err := newProxy(fmt.Sprint("store-", n), listener.Addr().String())
 		if err != nil {
-			return y, err
+			return d, err
 		}
 		i := &instance{
 			name: fmt.Sprint("entry-", n), domain: domains[n%len(domains)].name, region: domains[n%len(domains)].region,
-			program: p.before, other: p.now, logPath: filepath.Join(out, fmt.Sprintf("entry-%d.log", n)), store: proxy.Listen, accounts: !y.without,
+			program: p.previous, otherProgram: p.current, logPath: filepath.Join(out, fmt.Sprintf("entry-%d.log", n)), store: proxy.Listen, accounts: !d.withoutAccounts,
 		}
-		y.proxies[i.name] = proxy
-		y.instances = append(y.instances, i)
-		if err := i.start(y.seeds()); err != nil {
-			return y, err
+		d.proxies[i.name] = proxy
+		d.instances = append(d.instances, i)
+		if err := i.start(d.seeds()); err != nil {
+			return d, err
 		}
-		check.Name(i.place().caller, i.name)
+		check.RegisterInstance(i.endpoints().caller, i.name)
 	}
-	return y, nil
+	return d, nil
 }
 
 func newProxy(name, upstream string) (*toxiproxy.Proxy, error) {
@@ -121,22 +124,22 @@
 	return proxy, errors.Wrap(proxy.Start(), "proxy")
 }
 
-// seeds returns the peer addresses of the instances that have started.
-func (y *yard) seeds() []string {
+// seeds returns up to three peer addresses of started instances, through which a new one joins.
+func (d *deployment) seeds() []string {
 	var addresses []string
-	for _, i := range y.instances {
-		if p := i.place(); p.peers != "" && len(addresses) < 3 {
+	for _, i := range d.instances {
+		if p := i.endpoints(); p.peers != "" && len(addresses) < 3 {
 			addresses = append(addresses, p.peers)
 		}
 	}
 	return addresses
 }
 
-// configure puts the next version of the configuration in force; each has a route of its own.
-func (y *yard) configure() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.version += 2 + y.version%3
+// configure writes the next version of the configuration, which has a route of its own for probes.
+func (d *deployment) configure() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version += 2 + d.version%3
 	parts := []lovageyard.Part{{Service: service, Weight: 1}}
 	route := func(name, prefix string, idempotent bool) lovageyard.Route {
 		return lovageyard.Route{
@@ -146,44 +149,44 @@
 	}
 	routes := []lovageyard.Route{
 		route("look", lookUpPrefix, true), route("charge", chargePrefix, false),
-		route("version", fmt.Sprintf(versionPrefix, y.version), true),
+		route("version", fmt.Sprintf(versionPrefix, d.version), true),
 	}
-	for n := range y.routes {
+	for n := range d.extraRoutes {
 		routes = append(routes, route(fmt.Sprint("more-", n), fmt.Sprintf("/more-%x/", xxhash.Sum64String(fmt.Sprint(n))), true))
 	}
-	y.store.PutConfiguration(lovageyard.Configuration{
-		Version:      y.version,
+	d.store.PutConfiguration(lovageyard.Configuration{
+		Version:      d.version,
 		Routes:       routes,
 		Services:     map[string]lovageyard.Service{service: {Name: service, HealthPath: "/health", MaxConnections: 400, ColdFor: coldFor, ColdRate: coldRate}},
-		Accounts:     y.accounts(y.version),
+		Accounts:     d.accounts(d.version),
 		MaxBodyBytes: 1 << 20,
 	})
-	y.accepted = time.Now()
+	d.acceptedAt = time.Now()
 }
 
-func (y *yard) versions() (uint64, time.Time) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.version, y.accepted
+func (d *deployment) versions() (uint64, time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.version, d.acceptedAt
 }
 
-// addServer starts a server behind a proxy and registers it.
-func (y *yard) addServer(domain string) error {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.count++
+// addServer starts a server behind a proxy and registers it in the store.
+func (d *deployment) addServer(domain string) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.serverCount++
 	described := lovageyard.BackendServer{
-		Name: fmt.Sprint("i-", y.count), Service: service, FailureDomain: domain, Slots: serverSlots, State: lovageyard.StateLive,
+		Name: fmt.Sprint("i-", d.serverCount), Service: service, FailureDomain: domain, Slots: serverSlots, State: lovageyard.StateLive,
 	}
-	if y.count%2 == 0 {
-		// The others are older programs, which don't tell their start.
+	if d.serverCount%2 == 0 {
+		// The other servers act as older programs, which don't report their incarnation.
 		described.Life = time.Now().UnixMilli()
 	}
-	if len(y.instances) > 0 {
-		// An instance that starts just then learns from the entry alone that the server is cold.
+	if len(d.instances) > 0 {
+		// An instance that starts now can learn only from the server's entry that it is cold.
 		described.ColdFor = lovageyard.Duration(coldFor)
 	}
-	server, err := fake.StartServer(described, serverWork, y.check)
+	server, err := fake.StartServer(described, serverWork, d.check)
 	if err != nil {
 		return err
 	}
@@ -192,53 +195,53 @@
 		return err
 	}
 	server.Address = proxy.Listen
-	y.check.Place(server.Name, domain)
-	if len(y.instances) > 0 {
-		y.check.Joined(server.Name)
+	d.check.SetFailureDomain(server.Name, domain)
+	if len(d.instances) > 0 {
+		d.check.RecordServerStart(server.Name)
 	}
-	y.store.PutServer(server.BackendServer)
+	d.store.PutServer(server.BackendServer)
 	b := &backend{Server: server, proxy: proxy}
-	y.makeFrail(b)
-	y.servers = append(y.servers, b)
+	d.makeCrashable(b)
+	d.servers = append(d.servers, b)
 	return nil
 }
 
-// pick returns the server of a target that has not gone.
-func (y *yard) pick(target int) *backend {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	for n := range y.servers {
-		if b := y.servers[(target+n)%len(y.servers)]; !b.gone {
+// pickServer returns the server at or after a target's index that is not removed.
+func (d *deployment) pickServer(target int) *backend {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for n := range d.servers {
+		if b := d.servers[(target+n)%len(d.servers)]; !b.removed {
 			return b
 		}
 	}
-	return y.servers[0]
+	return d.servers[0]
 }
 
-// Close ends all that the yard started, by its process ids.
-func (y *yard) Close() []string {
-	y.faults.Wait()
-	for _, i := range y.instances {
+// Close stops all processes, servers and proxies of the deployment and returns the harness errors.
+func (d *deployment) Close() []string {
+	d.runningFaults.Wait()
+	for _, i := range d.instances {
 		i.signal(syscall.SIGCONT)
 		i.signal(syscall.SIGTERM)
 	}
-	for _, i := range y.instances {
-		if i.ended == nil {
+	for _, i := range d.instances {
+		if i.exited == nil {
 			continue
 		}
-		if err := i.await(); err != nil {
-			y.problem(err)
+		if err := i.waitExit(); err != nil {
+			d.recordHarnessError(err)
 		}
-		y.problems = append(y.problems, i.faults...)
+		d.harnessErrors = append(d.harnessErrors, i.unexpectedExits...)
 	}
-	for _, b := range y.servers {
+	for _, b := range d.servers {
 		b.proxy.Stop()
 		b.Server.Close()
 	}
-	for _, p := range y.proxies {
+	for _, p := range d.proxies {
 		p.Stop()
 	}
-	y.store.Close()
-	y.storeHTTP.Close()
-	return y.problems
+	d.store.Close()
+	d.storeHTTP.Close()
+	return d.harnessErrors
 }
