--- a/standin/backend.go
+++ b/standin/backend.go
@@ -19,19 +19,21 @@
 	"lovageyard.example/lovageyard/link"
 )
 
-// Behaviour of a stand-in server.
+// Behaviour of a server. The service time of the first coldRequests requests falls from coldFactor times the
+// mean to the mean.
 const (
 	queuePerSlot = 1
 	coldRequests = 50
 	coldFactor   = 4.0
 	maxBytes     = 256 << 20
-	pieceSize    = 32 << 10
-	recentWeight = 0.1
-	// hashHeader carries the hash of the whole answer, so that callers can check it.
+	blockSize    = 32 << 10
+	meanWeight   = 0.1
+	// hashHeader carries the xxHash of the whole body, so that callers can verify it.
 	hashHeader = "Lovageyard-Content-Hash"
 )
 
-// serverFaults are the faults of a server that can be switched on.
+// serverFaults is the body of the call that sets a server's faults. SlowBy is a factor of the service time;
+// Silent leaves requests unanswered; MisleadingLoad reports no load.
 type serverFaults struct {
 	Leaving        bool    `json:"leaving"`
 	MisleadingLoad bool    `json:"misleading-load"`
@@ -39,7 +41,8 @@
 	Silent         bool    `json:"silent"`
 }
 
-// serverCounts are what a server has seen, for checks from outside.
+// serverCounts holds a server's counters since its start, for checks by tests. Keys counts runs by
+// idempotency key.
 type serverCounts struct {
 	Requests    int            `json:"requests"`
 	Shed        int            `json:"shed"`
@@ -56,13 +59,13 @@
 	slots    chan struct{}
 	mux      *http.ServeMux
 
-	mu      sync.Mutex
-	faults  serverFaults
-	counts  serverCounts
-	running int
-	queued  int
-	served  int
-	recent  time.Duration
+	mu         sync.Mutex
+	faults     serverFaults
+	counts     serverCounts
+	running    int
+	queued     int
+	served     int
+	recentMean time.Duration
 }
 
 func newBackendServer(b lovageyard.BackendServer, l net.Listener, mean time.Duration, n network) *backendServer {
@@ -78,11 +81,11 @@
 	s.mux.HandleFunc("GET "+link.HealthPath, s.load)
 	s.mux.HandleFunc("PUT /standin/faults", s.setFaults)
 	s.mux.HandleFunc("GET /standin/counts", s.showCounts)
-	s.mux.HandleFunc("/", s.work)
+	s.mux.HandleFunc("/", s.serveRequest)
 	return s
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP dispatches requests for load reports, faults and counters, and runs all others as work.
 func (s *backendServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
@@ -115,7 +118,7 @@
 		InFlight: s.running,
 		Queued:   s.queued,
 		Leaving:  s.faults.Leaving,
-		MeanMs:   float64(s.recent.Microseconds()) / 1000,
+		MeanMs:   float64(s.recentMean.Microseconds()) / 1000,
 	}
 	if s.faults.MisleadingLoad {
 		r.InFlight = 0
@@ -124,8 +127,9 @@
 	return r
 }
 
-// work runs one request: network delay, a place in the queue, a slot, the answer.
-func (s *backendServer) work(w http.ResponseWriter, r *http.Request) {
+// serveRequest simulates one request: the network delay, the wait in the queue for a slot, the service time and
+// the answer.
+func (s *backendServer) serveRequest(w http.ResponseWriter, r *http.Request) {
 	if s.currentFaults().Silent {
 		<-r.Context().Done()
 		return
@@ -135,11 +139,11 @@
 	defer time.Sleep(delay)
 	ctx, cancel := deadlineOf(r)
 	defer cancel()
-	if tooLate(r) || !s.enter(ctx) {
+	if isExpired(r) || !s.acquireSlot(ctx) {
 		s.refuse(w)
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
@@ -150,6 +154,7 @@
 	s.answer(w, r)
 }
 
+// deadlineOf returns the request's context, bounded by the time left in its deadline header.
 func deadlineOf(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(lovageyard.DeadlineHeader), 10, 64)
 	if err != nil {
@@ -158,8 +163,9 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 }
 
-// tooLate says whether a request may not begin any more, by the sender's clock.
-func tooLate(r *http.Request) bool {
+// isExpired reports whether it is too late to start the request, by the time that its sender has set, plus
+// charge.Skew for the difference of the clocks.
+func isExpired(r *http.Request) bool {
 	ms, err := strconv.ParseInt(r.Header.Get(lovageyard.SendBeforeHeader), 10, 64)
 	return err == nil && time.Now().After(time.UnixMilli(ms).Add(charge.Skew))
 }
@@ -170,8 +176,9 @@
 	return s.faults
 }
 
-// enter waits for a slot; false means that the request did not run.
-func (s *backendServer) enter(ctx context.Context) bool {
+// acquireSlot waits for a slot. It returns false if the queue is full or the context ends first; the request
+// then must not run.
+func (s *backendServer) acquireSlot(ctx context.Context) bool {
 	s.mu.Lock()
 	s.counts.Requests++
 	if s.queued >= queuePerSlot*s.Slots {
@@ -182,23 +189,23 @@
 	s.queued++
 	s.counts.MostQueued = max(s.counts.MostQueued, s.running+s.queued-s.Slots)
 	s.mu.Unlock()
-	entered := true
+	acquired := true
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
-		entered = false
+		acquired = false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queued--
-	if entered {
+	if acquired {
 		s.running++
 		s.counts.MostRunning = max(s.counts.MostRunning, s.running)
 	}
-	return entered
+	return acquired
 }
 
-func (s *backendServer) leave() {
+func (s *backendServer) releaseSlot() {
 	s.mu.Lock()
 	s.running--
 	s.mu.Unlock()
@@ -214,8 +221,8 @@
 	s.counts.Keys[key]++
 }
 
-// run spends the service time; a cold server takes longer. It returns false if the
-// request was cancelled.
+// run waits for the service time and updates the moving average of the load report. It returns false if
+// the request was cancelled.
 func (s *backendServer) run(ctx context.Context) bool {
 	took := s.serviceTime()
 	select {
@@ -225,10 +232,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.recent == 0 {
-		s.recent = took
+	if s.recentMean == 0 {
+		s.recentMean = took
 	}
-	s.recent += time.Duration(recentWeight * float64(took-s.recent))
+	s.recentMean += time.Duration(meanWeight * float64(took-s.recentMean))
 	return true
 }
 
@@ -243,56 +250,56 @@
 	if s.faults.SlowBy > 0 {
 		factor *= s.faults.SlowBy
 	}
-	// Half of the time is fixed, half of it exponential.
+	// Half of the mean is a constant, the other half the mean of an exponential distribution.
 	return time.Duration(factor * float64(s.mean) * (0.5 + 0.5*rand.ExpFloat64()))
 }
 
 func (s *backendServer) refuse(w http.ResponseWriter) {
-	s.head(w)
+	s.setLoadHeader(w)
 	w.Header().Set(lovageyard.VerdictHeader, string(lovageyard.VerdictNotRun))
 	http.Error(w, "no slot", http.StatusServiceUnavailable)
 }
 
-func (s *backendServer) head(w http.ResponseWriter) {
+func (s *backendServer) setLoadHeader(w http.ResponseWriter) {
 	report, _ := json.Marshal(s.report())
 	w.Header().Set(lovageyard.LoadHeader, string(report))
 }
 
-// answer sends as many bytes as the query's "bytes" asks for, with their hash ahead.
+// answer sends a body of the size in the query parameter "bytes", and its hash in a header.
 func (s *backendServer) answer(w http.ResponseWriter, r *http.Request) {
 	size, err := strconv.Atoi(r.URL.Query().Get("bytes"))
 	if err != nil || size < 0 || size > maxBytes {
 		size = 0
 	}
-	piece := []byte(fmt.Sprintf("%s %s from %s\n", r.Method, r.URL.Path, s.Name))
-	size = max(size, len(piece))
-	w.Header().Set(hashHeader, strconv.FormatUint(hashOf(piece, size), 16))
+	pattern := []byte(fmt.Sprintf("%s %s from %s\n", r.Method, r.URL.Path, s.Name))
+	size = max(size, len(pattern))
+	w.Header().Set(hashHeader, strconv.FormatUint(hashOf(pattern, size), 16))
 	w.Header().Set("Content-Length", strconv.Itoa(size))
-	s.head(w)
-	_ = eachPiece(piece, size, func(b []byte) error {
+	s.setLoadHeader(w)
+	_ = writeRepeated(pattern, size, func(b []byte) error {
 		_, err := w.Write(b)
 		return err
 	})
 }
 
-func hashOf(piece []byte, size int) uint64 {
+func hashOf(pattern []byte, size int) uint64 {
 	digest := xxhash.New()
-	_ = eachPiece(piece, size, func(b []byte) error {
+	_ = writeRepeated(pattern, size, func(b []byte) error {
 		_, err := digest.Write(b)
 		return err
 	})
 	return digest.Sum64()
 }
 
-// eachPiece visits size bytes that repeat a piece.
-func eachPiece(piece []byte, size int, visit func([]byte) error) error {
-	block := make([]byte, 0, pieceSize+len(piece))
-	for len(block) < pieceSize {
-		block = append(block, piece...)
+// writeRepeated passes size bytes that repeat a pattern to write, in blocks.
+func writeRepeated(pattern []byte, size int, write func([]byte) error) error {
+	block := make([]byte, 0, blockSize+len(pattern))
+	for len(block) < blockSize {
+		block = append(block, pattern...)
 	}
 	for size > 0 {
 		n := min(size, len(block))
-		if err := visit(block[:n]); err != nil {
+		if err := write(block[:n]); err != nil {
 			return err
 		}
 		size -= n
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -20,12 +20,12 @@
 	Address string `default:"127.0.0.1:0" help:"Address to listen at, host:port."`
 }
 
-// platformReady is the line that a platform announces.
+// platformReady is the line that the platform announces itself with.
 type platformReady struct {
 	Address string `json:"address"`
 }
 
-// Run serves until the context ends.
+// Run serves the platform until the context is cancelled.
 func (p *platformCommand) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", p.Address)
 	if err != nil {
@@ -39,6 +39,7 @@
 	return serve(ctx, listener, newPlatformServer(store))
 }
 
+// serve serves until the context is cancelled, then waits up to 10 s for the requests in flight.
 func serve(ctx context.Context, l net.Listener, h http.Handler) error {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	done := make(chan error, 1)
@@ -48,21 +49,22 @@
 		return err
 	case <-ctx.Done():
 	}
-	bound, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	timeoutCtx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return server.Shutdown(bound)
+	return server.Shutdown(timeoutCtx)
 }
 
-// platformFaults are the faults of the platform that can be switched on.
+// platformFaults is the body of the call that sets the platform's faults. LoseAnswers executes writes and
+// closes the connection without an answer.
 type platformFaults struct {
 	Down        bool                `json:"down"`
 	SlowBy      lovageyard.Duration `json:"slow-by"`
 	LoseAnswers bool                `json:"lose-answers"`
-	// ListLag is how late the lists of instances and servers show a change.
+	// ListLag delays changes of the lists of instances and servers.
 	ListLag lovageyard.Duration `json:"list-lag"`
 }
 
-// platformServer is the stand-in's store, with calls that set its faults and its lists.
+// platformServer is a fake store, with additional calls that set its faults and its lists.
 type platformServer struct {
 	store *fake.Store
 	mux   *http.ServeMux
@@ -79,7 +81,7 @@
 	return p
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP dispatches calls below /standin/ to the platformServer, and all others to the store.
 func (p *platformServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/standin/") {
 		p.mux.ServeHTTP(w, r)
@@ -106,7 +108,7 @@
 func (p *platformServer) setEntryInstance(w http.ResponseWriter, r *http.Request) {
 	var i lovageyard.EntryInstance
 	if decode(w, r, &i) {
-		p.list(lovageyard.TableInstances, i.Name, i, i.State)
+		p.changeRow(lovageyard.TableInstances, i.Name, i, i.State)
 	}
 }
 
@@ -116,12 +118,12 @@
 		return
 	}
 	for _, b := range servers {
-		p.list(lovageyard.TableBackends, b.Name, b, b.State)
+		p.changeRow(lovageyard.TableBackends, b.Name, b, b.State)
 	}
 }
 
-// list changes the row of an instance or a server, as late as the lists lag.
-func (p *platformServer) list(table, key string, value any, state lovageyard.InstanceState) {
+// changeRow writes or removes the row of an instance or a server, after the delay of the lists.
+func (p *platformServer) changeRow(table, key string, value any, state lovageyard.InstanceState) {
 	change := func() {
 		if state == lovageyard.StateGone {
 			p.store.Remove(platform.StoreTable(table), key)
--- a/standin/servers.go
+++ b/standin/servers.go
@@ -29,7 +29,7 @@
 	Platform      string        `help:"Address of the stand-in platform to register at."`
 }
 
-// group is one kind of server to run.
+// group is a number of equal servers of one service.
 type group struct {
 	service     string
 	count       int
@@ -57,7 +57,7 @@
 	return g, nil
 }
 
-// Run serves all servers until the context ends.
+// Run starts and registers all servers, and serves until the context is cancelled.
 func (c *serversCommand) Run(ctx context.Context) error {
 	if c.Site == "" {
 		c.Site = c.FailureDomain
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// network knows the delays between failure domains.
+// network holds the simulated delays between failure domains.
 type network struct {
 	domain      string
 	region      string
