--- a/lovageyard-load/client.go
+++ b/lovageyard-load/client.go
@@ -21,13 +21,14 @@
 	"lovageyard.example/lovageyard/caller"
 )
 
-// hashHeader carries the hash of the whole answer.
+// hashHeader carries the xxHash of the whole body.
 const hashHeader = "Lovageyard-Content-Hash"
 
-// client is one caller: it keeps look-ups' answers for as long as it is told.
+// client is one simulated caller, with a source address of its own. It caches the answer of a look-up for
+// the time that the answer allows, and longer if the look-up can't be repeated.
 type client struct {
 	address netip.Addr
-	home    string
+	network string
 	http    *http.Client
 	seeds   []string
 
@@ -36,18 +37,18 @@
 }
 
 type cachedLookUp struct {
-	answer caller.LookUp
-	until  time.Time
+	answer  caller.LookUp
+	expires time.Time
 }
 
-func newClient(address netip.Addr, home string, seeds []string, timeout time.Duration) *client {
+func newClient(address netip.Addr, network string, seeds []string, timeout time.Duration) *client {
 	dialer := &net.Dialer{
 		Timeout:   timeout,
 		LocalAddr: &net.TCPAddr{IP: address.AsSlice()},
 	}
 	return &client{
 		address: address,
-		home:    home,
+		network: network,
 		seeds:   seeds,
 		http: &http.Client{
 			Timeout:   timeout,
@@ -57,18 +58,18 @@
 	}
 }
 
-// entries returns the caller addresses to use for a class, best first.
+// entries returns the addresses of the entry instances for a class, in order of preference.
 func (c *client) entries(ctx context.Context, class string) ([]string, error) {
 	c.mu.Lock()
 	known, found := c.cached[class]
 	c.mu.Unlock()
-	if !found || time.Now().After(known.until) {
+	if !found || time.Now().After(known.expires) {
 		fresh, err := c.lookUp(ctx, class, known.answer)
 		if err != nil && !found {
 			return nil, err
 		}
 		if err == nil {
-			known = cachedLookUp{answer: fresh, until: time.Now().Add(time.Duration(fresh.KeepForMs) * time.Millisecond)}
+			known = cachedLookUp{answer: fresh, expires: time.Now().Add(time.Duration(fresh.KeepForMs) * time.Millisecond)}
 			c.mu.Lock()
 			c.cached[class] = known
 			c.mu.Unlock()
@@ -84,18 +85,19 @@
 	return addresses, nil
 }
 
-// lookUp asks the instances of the last answer, then the seeds.
+// lookUp sends a look-up to the instances of the last answer, then to the seeds, until one answers. Clients
+// start at different seeds.
 func (c *client) lookUp(ctx context.Context, class string, last caller.LookUp) (caller.LookUp, error) {
-	var ask []string
+	var addresses []string
 	for _, i := range last.Instances {
-		ask = append(ask, i.Address)
+		addresses = append(addresses, i.Address)
 	}
 	start := int(c.address.As4()[2])
 	for i := range c.seeds {
-		ask = append(ask, c.seeds[(start+i)%len(c.seeds)])
+		addresses = append(addresses, c.seeds[(start+i)%len(c.seeds)])
 	}
 	var failure error
-	for _, address := range ask {
+	for _, address := range addresses {
 		answer, err := c.lookUpAt(ctx, address, class)
 		if err == nil {
 			return answer, nil
@@ -122,21 +124,21 @@
 	return answer, json.NewDecoder(response.Body).Decode(&answer)
 }
 
-// send sends one request and judges the answer. A request that could not reach the
-// first instance goes to the next one.
+// send sends one request and checks the answer. If no connection to an instance can be opened, the next one
+// is tried.
 func (c *client) send(ctx context.Context, s stream, number int64) outcome {
 	entries, err := c.entries(ctx, s.class)
 	if err != nil {
-		return outcome{cause: causeLookUp}
+		return outcome{category: categoryNoLookUp}
 	}
-	var o outcome
+	var result outcome
 	for _, address := range entries {
-		o = c.sendTo(ctx, address, s, number)
-		if o.cause != causeDial {
-			return o
+		result = c.sendTo(ctx, address, s, number)
+		if result.category != categoryNoConnection {
+			return result
 		}
 	}
-	return o
+	return result
 }
 
 func (c *client) sendTo(ctx context.Context, address string, s stream, number int64) outcome {
@@ -147,29 +149,29 @@
 	target := fmt.Sprintf("http://%s%s%d?bytes=%d", address, s.path, number, s.bytes)
 	request, err := http.NewRequestWithContext(ctx, s.method, target, body)
 	if err != nil {
-		return outcome{cause: causeCut}
+		return outcome{category: categoryCut}
 	}
 	if s.method != http.MethodGet {
 		request.Header.Set("Idempotency-Key", c.address.String()+"-"+strconv.FormatInt(number, 10))
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return outcome{cause: causeOf(err)}
+		return outcome{category: categoryOf(err)}
 	}
 	defer response.Body.Close()
-	return judge(response)
+	return checkAnswer(response)
 }
 
-func causeOf(err error) cause {
+func categoryOf(err error) category {
 	var failure *net.OpError
 	if errors.As(err, &failure) && failure.Op == "dial" {
-		return causeDial
+		return categoryNoConnection
 	}
-	return causeCut
+	return categoryCut
 }
 
-// judge reads an answer and checks that it is whole.
-func judge(response *http.Response) outcome {
+// checkAnswer reads an answer and verifies its hash.
+func checkAnswer(response *http.Response) outcome {
 	o := outcome{
 		status:  response.StatusCode,
 		verdict: lovageyard.Verdict(response.Header.Get(lovageyard.VerdictHeader)),
@@ -177,17 +179,17 @@
 	}
 	digest := xxhash.New()
 	if _, err := io.Copy(digest, response.Body); err != nil {
-		o.cause = causeCut
+		o.category = categoryCut
 		return o
 	}
 	if o.status != http.StatusOK {
-		o.cause = causeRefused
+		o.category = categoryRefused
 		return o
 	}
 	if strconv.FormatUint(digest.Sum64(), 16) != response.Header.Get(hashHeader) {
-		o.cause = causeBroken
+		o.category = categoryCorrupt
 		return o
 	}
-	o.cause = causeWhole
+	o.category = categoryComplete
 	return o
 }
--- a/lovageyard-load/load.go
+++ b/lovageyard-load/load.go
@@ -14,87 +14,87 @@
 	"lovageyard.example/lovageyard"
 )
 
-// cause says what became of one request.
-type cause string
+// category classifies the outcome of one request; its values are names in the results.
+type category string
 
 const (
-	causeWhole   cause = "whole"
-	causeRefused cause = "refused"
-	causeBroken  cause = "broken"
-	causeCut     cause = "cut"
-	causeDial    cause = "no-connection"
-	causeLookUp  cause = "no-look-up"
+	categoryComplete     category = "whole"
+	categoryRefused      category = "refused"
+	categoryCorrupt      category = "broken"
+	categoryCut          category = "cut"
+	categoryNoConnection category = "no-connection"
+	categoryNoLookUp     category = "no-look-up"
 )
 
-// outcome is what became of one request.
+// outcome is the outcome of one request.
 type outcome struct {
-	cause   cause
-	status  int
-	verdict lovageyard.Verdict
-	site    string
+	category category
+	status   int
+	verdict  lovageyard.Verdict
+	site     string
 }
 
-// Range and precision of the latencies, in microseconds.
+// Range in microseconds and precision of the latency histogram.
 const (
-	lowestLatency  = 1
-	highestLatency = int64(time.Minute / time.Microsecond)
-	digits         = 3
+	lowestLatency     = 1
+	highestLatency    = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// maxOutstanding bounds the requests under way; arrivals beyond it count as failed.
-const maxOutstanding = 20000
+// maxInFlight is the maximum number of requests in flight; those that are due beyond it count as cut.
+const maxInFlight = 20000
 
-// tally counts one class's outcomes.
+// tally holds the counters of one class. It is safe for concurrent use.
 type tally struct {
-	mu       sync.Mutex
-	sent     int64
-	causes   map[cause]int64
-	statuses map[int]int64
-	verdicts map[lovageyard.Verdict]int64
-	latency  *hdrhistogram.Histogram
-	arrivals []arrival
+	mu         sync.Mutex
+	sent       int64
+	categories map[category]int64
+	statuses   map[int]int64
+	verdicts   map[lovageyard.Verdict]int64
+	latency    *hdrhistogram.Histogram
+	arrivals   []arrival
 }
 
-// arrival tells to which site one answered request went.
+// arrival records the site that served one complete answer, and the network of its client.
 type arrival struct {
-	at   time.Time
-	home string
-	site string
+	at      time.Time
+	network string
+	site    string
 }
 
 func newTally() *tally {
 	return &tally{
-		causes:   make(map[cause]int64),
-		statuses: make(map[int]int64),
-		verdicts: make(map[lovageyard.Verdict]int64),
-		latency:  hdrhistogram.New(lowestLatency, highestLatency, digits),
+		categories: make(map[category]int64),
+		statuses:   make(map[int]int64),
+		verdicts:   make(map[lovageyard.Verdict]int64),
+		latency:    hdrhistogram.New(lowestLatency, highestLatency, significantDigits),
 	}
 }
 
-func (t *tally) add(due time.Time, took time.Duration, home string, o outcome) {
+func (t *tally) add(due time.Time, took time.Duration, network string, o outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.causes[o.cause]++
+	t.categories[o.category]++
 	if o.status != 0 {
 		t.statuses[o.status]++
 	}
 	if o.verdict != "" {
 		t.verdicts[o.verdict]++
 	}
-	if o.cause == causeWhole {
+	if o.category == categoryComplete {
 		_ = t.latency.RecordValue(max(lowestLatency, min(highestLatency, took.Microseconds())))
-		t.arrivals = append(t.arrivals, arrival{at: due, home: home, site: o.site})
+		t.arrivals = append(t.arrivals, arrival{at: due, network: network, site: o.site})
 	}
 }
 
-// load is one run.
+// load is one run of the load generator.
 type load struct {
-	options     options
-	streams     []stream
-	clients     []*client
-	tallies     map[string]*tally
-	numbers     atomic.Int64
-	outstanding atomic.Int64
+	options    options
+	streams    []stream
+	clients    []*client
+	tallies    map[string]*tally
+	lastNumber atomic.Int64
+	inFlight   atomic.Int64
 }
 
 func newLoad(o options) (*load, error) {
@@ -121,14 +121,14 @@
 	return l, nil
 }
 
-// run sends all streams and waits for the last answer.
+// run sends all streams for the configured duration, waits for the last answer and returns the results.
 func (l *load) run(ctx context.Context) []result {
 	var sending sync.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	sendingContext, stop := context.WithTimeout(ctx, l.options.Duration)
 	defer stop()
 	for i, s := range l.streams {
-		sending.Go(func() { l.sendStream(sendingContext, began, s, uint64(i)) })
+		sending.Go(func() { l.sendStream(sendingContext, start, s, uint64(i)) })
 	}
 	if isTerminal(os.Stderr) {
 		go l.progress(sendingContext)
@@ -137,21 +137,21 @@
 	return l.results()
 }
 
-// sendStream starts requests at their due times, whatever becomes of earlier ones.
+// sendStream starts each request at its due time, independently of the answers to earlier ones.
 func (l *load) sendStream(ctx context.Context, due time.Time, s stream, order uint64) {
 	random := rand.New(rand.NewPCG(l.options.Seed, order))
 	t := l.tallies[s.class]
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	for {
-		due = due.Add(l.gap(s, random))
+		due = due.Add(l.interval(s, random))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
 			return
 		}
 		c := l.clients[random.IntN(len(l.clients))]
-		number := l.numbers.Add(1)
+		number := l.lastNumber.Add(1)
 		if !l.admit(t) {
 			continue
 		}
@@ -160,8 +160,8 @@
 	}
 }
 
-// gap returns the time between two arrivals of a stream.
-func (l *load) gap(s stream, random *rand.Rand) time.Duration {
+// interval returns the time between two requests of a stream: the mean, or an exponentially distributed one.
+func (l *load) interval(s stream, random *rand.Rand) time.Duration {
 	mean := float64(time.Second) / s.rate
 	if l.options.Arrivals == "fixed" {
 		return time.Duration(mean)
@@ -169,25 +169,26 @@
 	return time.Duration(random.ExpFloat64() * mean)
 }
 
+// admit counts a request and reports whether it may be sent without exceeding maxInFlight.
 func (l *load) admit(t *tally) bool {
 	t.mu.Lock()
 	t.sent++
 	t.mu.Unlock()
-	if l.outstanding.Add(1) <= maxOutstanding {
+	if l.inFlight.Add(1) <= maxInFlight {
 		return true
 	}
-	l.outstanding.Add(-1)
-	t.add(time.Now(), 0, "", outcome{cause: causeCut})
+	l.inFlight.Add(-1)
+	t.add(time.Now(), 0, "", outcome{category: categoryCut})
 	return false
 }
 
-// sendOne measures from the due time, so that a late start counts.
+// sendOne sends one request. The latency includes the delay of a start after the due time.
 func (l *load) sendOne(c *client, s stream, t *tally, number int64, due time.Time) {
-	defer l.outstanding.Add(-1)
+	defer l.inFlight.Add(-1)
 	ctx, cancel := context.WithTimeout(context.Background(), l.options.Timeout)
 	defer cancel()
 	o := c.send(ctx, s, number)
-	t.add(due, time.Since(due), c.home, o)
+	t.add(due, time.Since(due), c.network, o)
 }
 
 func isTerminal(f *os.File) bool {
@@ -201,7 +202,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			fmt.Fprintf(os.Stderr, "\rsent %d, under way %d ", l.numbers.Load(), l.outstanding.Load())
+			fmt.Fprintf(os.Stderr, "\rsent %d, in flight %d ", l.lastNumber.Load(), l.inFlight.Load())
 		case <-ctx.Done():
 			fmt.Fprintln(os.Stderr)
 			return
--- a/lovageyard-load/load_test.go
+++ b/lovageyard-load/load_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestGapsKeepTheRate(t *testing.T) {
+func TestIntervalsMatchRate(t *testing.T) {
 	for _, arrivals := range []string{"fixed", "poisson"} {
 		t.Run(arrivals, func(t *testing.T) {
 			c := qt.New(t)
@@ -18,9 +18,9 @@
 			different := 0
 			const count = 10000
 			for range count {
-				gap := l.gap(stream{rate: 100}, random)
-				sum += gap
-				if gap != 10*time.Millisecond {
+				interval := l.interval(stream{rate: 100}, random)
+				sum += interval
+				if interval != 10*time.Millisecond {
 					different++
 				}
 			}
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestNetworksAreLoopback(t *testing.T) {
+func TestNetworksMustBeLoopback(t *testing.T) {
 	c := qt.New(t)
 	_, err := parseNetworks([]string{"127.10.0.0/16"})
 	c.Assert(err, qt.IsNil)
--- a/lovageyard-load/main.go
+++ b/lovageyard-load/main.go
@@ -13,7 +13,7 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// options are the settings of a load.
+// options are the settings of the load generator.
 type options struct {
 	LookUpAddress []string      `required:"" help:"Caller addresses of entry instances to send look-ups to."`
 	Stream        []string      `required:"" sep:"none" help:"Stream of requests: class:method:path:rate-a-second:bytes, such as movements:GET:/movements/:200:2000."`
@@ -38,7 +38,7 @@
 		return errors.Errorf("--clients: %d is not a number above 0", o.Clients)
 	}
 	if o.Duration <= 0 || o.Timeout <= 0 {
-		return errors.New("--duration and --timeout: a span above 0s is needed")
+		return errors.New("--duration and --timeout: a duration above 0s is needed")
 	}
 	for _, text := range o.Stream {
 		if _, err := parseStream(text); err != nil {
--- a/lovageyard-load/result.go
+++ b/lovageyard-load/result.go
@@ -16,29 +16,29 @@
 	"lovageyard.example/lovageyard"
 )
 
-// result is one class's account of a run.
+// result is the result of a run for one class. Latencies are of complete answers only.
 type result struct {
-	Class    string          `json:"class"`
-	Sent     int64           `json:"sent"`
-	Whole    int64           `json:"whole"`
-	Causes   []count         `json:"causes"`
-	Statuses []count         `json:"statuses"`
-	Verdicts []count         `json:"verdicts"`
-	P50Ms    float64         `json:"p50-ms"`
-	P90Ms    float64         `json:"p90-ms"`
-	P99Ms    float64         `json:"p99-ms"`
-	MaxMs    float64         `json:"max-ms"`
-	Seconds  []secondOfSites `json:"seconds"`
+	Class    string       `json:"class"`
+	Sent     int64        `json:"sent"`
+	Whole    int64        `json:"whole"`
+	Causes   []count      `json:"causes"`
+	Statuses []count      `json:"statuses"`
+	Verdicts []count      `json:"verdicts"`
+	P50Ms    float64      `json:"p50-ms"`
+	P90Ms    float64      `json:"p90-ms"`
+	P99Ms    float64      `json:"p99-ms"`
+	MaxMs    float64      `json:"max-ms"`
+	Seconds  []siteSecond `json:"seconds"`
 }
 
-// count is a number of requests that have something in common.
+// count is the number of requests with one value of a property, such as a status.
 type count struct {
 	Name  string `json:"name"`
 	Count int64  `json:"count"`
 }
 
-// secondOfSites counts the answered requests of one second by the site that served them.
-type secondOfSites struct {
+// siteSecond counts the complete answers to requests due in one second by the site that served them.
+type siteSecond struct {
 	UnixSecond int64   `json:"unix-second"`
 	Sites      []count `json:"sites"`
 }
@@ -63,18 +63,19 @@
 	return result{
 		Class:    name,
 		Sent:     t.sent,
-		Whole:    t.causes[causeWhole],
-		Causes:   counts(t.causes, func(c cause) string { return string(c) }),
+		Whole:    t.categories[categoryComplete],
+		Causes:   counts(t.categories, func(c category) string { return string(c) }),
 		Statuses: counts(t.statuses, strconv.Itoa),
 		Verdicts: counts(t.verdicts, func(v lovageyard.Verdict) string { return string(v) }),
 		P50Ms:    ms(t.latency.ValueAtQuantile(50)),
 		P90Ms:    ms(t.latency.ValueAtQuantile(90)),
 		P99Ms:    ms(t.latency.ValueAtQuantile(99)),
 		MaxMs:    ms(t.latency.Max()),
-		Seconds:  bySecond(t.arrivals),
+		Seconds:  countBySecond(t.arrivals),
 	}
 }
 
+// counts converts a map to a list sorted by name. The list is never nil, so that it is encoded as [].
 func counts[K comparable](m map[K]int64, name func(K) string) []count {
 	out := []count{}
 	for k, n := range m {
@@ -84,7 +85,7 @@
 	return out
 }
 
-func bySecond(arrivals []arrival) []secondOfSites {
+func countBySecond(arrivals []arrival) []siteSecond {
 	seconds := make(map[int64]map[string]int64)
 	for _, a := range arrivals {
 		s := a.at.Unix()
@@ -93,16 +94,17 @@
 		}
 		seconds[s][a.site]++
 	}
-	out := []secondOfSites{}
+	out := []siteSecond{}
 	for s, sites := range seconds {
-		out = append(out, secondOfSites{UnixSecond: s, Sites: counts(sites, strings.Clone)})
+		out = append(out, siteSecond{UnixSecond: s, Sites: counts(sites, strings.Clone)})
 	}
-	slices.SortFunc(out, func(a, b secondOfSites) int { return int(a.UnixSecond - b.UnixSecond) })
+	slices.SortFunc(out, func(a, b siteSecond) int { return int(a.UnixSecond - b.UnixSecond) })
 	return out
 }
 
-// create opens a results file; the name - means standard output, and "" nothing.
-func create(name string) (io.WriteCloser, error) {
+// openOutput creates a results file. The name "-" is standard output; for "" it returns nil, and nothing is
+// written.
+func openOutput(name string) (io.WriteCloser, error) {
 	switch name {
 	case "":
 		return nil, nil
@@ -122,7 +124,7 @@
 }
 
 func writeJSON(name string, results []result) error {
-	f, err := create(name)
+	f, err := openOutput(name)
 	if f == nil || err != nil {
 		return err
 	}
@@ -131,7 +133,7 @@
 }
 
 func writeCSV(name string, results []result) error {
-	f, err := create(name)
+	f, err := openOutput(name)
 	if f == nil || err != nil {
 		return err
 	}
--- a/lovageyard-load/stream.go
+++ b/lovageyard-load/stream.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// stream is one kind of request that arrives at a rate.
+// stream is a sequence of equal requests, at a mean rate in requests a second.
 type stream struct {
 	class  string
 	method string
@@ -46,7 +46,8 @@
 	return networks, nil
 }
 
-// clientAddress returns the address of the n-th client of a network: one in each block of 256.
+// clientAddress returns the address of the n-th client of a network. Each client is in a block of 256
+// addresses of its own, since instances route by block.
 func clientAddress(network netip.Prefix, n int) netip.Addr {
 	raw := network.Addr().As4()
 	raw[2] = byte(n)
