--- a/demo/account.go
+++ b/demo/account.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// classResult is what the load tool tells of one class.
+// classResult is the load generator's result for one class.
 type classResult struct {
 	Class    string   `json:"class"`
 	Sent     int64    `json:"sent"`
@@ -33,8 +33,8 @@
 	Sites      []count `json:"sites"`
 }
 
-// account prints what came of the run, and fails if a request was cut.
-func (d *demo) account(file string) error {
+// printSummary prints the results of the run, and fails if a request was cut.
+func (d *demo) printSummary(file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return errors.Wrap(err, "results")
@@ -47,14 +47,14 @@
 	fmt.Fprintln(w, "CLASS\tSENT\tWHOLE\tREFUSED BY VERDICT\tP50 MS\tP99 MS\tMOST MOVED\tCAP\tDRAINED IN\tCUT")
 	cut := int64(0)
 	for _, r := range results {
-		lost := number(r.Causes, "cut") + number(r.Causes, "broken") + number(r.Causes, "no-connection") + number(r.Causes, "no-look-up")
+		lost := countOf(r.Causes, "cut") + countOf(r.Causes, "broken") + countOf(r.Causes, "no-connection") + countOf(r.Causes, "no-look-up")
 		cut += lost
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.1f\t%.1f\t%.1f%%\t%.0f%%\t%s\t%d\n", r.Class, r.Sent, r.Whole, text(r.Verdicts),
-			r.P50Ms, r.P99Ms, 100*mostMoved(r.Seconds), 100*moveCap, d.drainTime(r), lost)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.1f\t%.1f\t%.1f%%\t%.0f%%\t%s\t%d\n", r.Class, r.Sent, r.Whole, formatCounts(r.Verdicts),
+			r.P50Ms, r.P99Ms, 100*maxShareMoved(r.Seconds), 100*moveCap, d.drainTime(r), lost)
 	}
 	w.Flush()
-	least := time.Duration(1/moveCap) * moveInterval
-	fmt.Printf("drain of site %s under a cap of %.0f%% in %s: the least time is %s\n", d.drained, 100*moveCap, moveInterval, least)
+	minimum := time.Duration(1/moveCap) * moveInterval
+	fmt.Printf("drain of site %s under a cap of %.0f%% in %s: the minimum time is %s\n", d.drained, 100*moveCap, moveInterval, minimum)
 	fmt.Printf("requests cut: %d\n", cut)
 	if cut > 0 {
 		return errors.Errorf("%d requests were cut", cut)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func number(counts []count, name string) int64 {
+func countOf(counts []count, name string) int64 {
 	for _, c := range counts {
 		if c.Name == name {
 			return c.Count
@@ -71,7 +71,7 @@
 	return 0
 }
 
-func text(counts []count) string {
+func formatCounts(counts []count) string {
 	var parts []string
 	for _, c := range counts {
 		parts = append(parts, fmt.Sprintf("%s %d", c.Name, c.Count))
@@ -82,11 +82,11 @@
 	return strings.Join(parts, ", ")
 }
 
-// drainTime returns the time from the order to the last request at the drained site.
+// drainTime returns the time from the start of the drain to the last request at the drained site.
 func (d *demo) drainTime(r classResult) string {
 	last := int64(0)
 	for _, s := range r.Seconds {
-		if number(s.Sites, d.drained) > 0 {
+		if countOf(s.Sites, d.drained) > 0 {
 			last = s.UnixSecond
 		}
 	}
@@ -96,25 +96,25 @@
 	return time.Unix(last+1, 0).Sub(d.drainedAt).Round(time.Second).String()
 }
 
-// mostMoved estimates the largest share of work that moved in one interval: what sites
-// gained in a window of one interval over their share in the seconds before it.
-func mostMoved(seconds []second) float64 {
+// maxShareMoved estimates the largest share of work that moved in one interval. For each window of one
+// interval it adds up the requests that sites got beyond their share in the seconds before.
+func maxShareMoved(seconds []second) float64 {
 	const window = int(moveInterval / time.Second)
-	most := 0.0
+	largest := 0.0
 	for start := window; start+window <= len(seconds); start++ {
-		before, beforeTotal := sum(seconds[start-window/2 : start])
-		during, duringTotal := sum(seconds[start : start+window])
+		before, beforeTotal := sumBySite(seconds[start-window/2 : start])
+		during, duringTotal := sumBySite(seconds[start : start+window])
 		gained := 0.0
 		for site, n := range during {
 			expected := float64(before[site]) / float64(beforeTotal) * float64(duringTotal)
 			gained += max(0, float64(n)-expected)
 		}
-		most = max(most, gained/float64(duringTotal))
+		largest = max(largest, gained/float64(duringTotal))
 	}
-	return most
+	return largest
 }
 
-func sum(seconds []second) (sites map[string]int64, total int64) {
+func sumBySite(seconds []second) (sites map[string]int64, total int64) {
 	sites = make(map[string]int64)
 	for _, s := range seconds {
 		for _, c := range s.Sites {
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -7,7 +7,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-// service is one backend service of a deployment with its class and its load.
+// service is one backend service of a deployment, with the class and the load of its requests.
 type service struct {
 	name        string
 	class       string
@@ -24,7 +24,7 @@
 	bytes       int
 }
 
-// deployment is the size of one of the users.
+// deployment describes the size of a deployment, modelled on one of the users of the system.
 type deployment struct {
 	name        string
 	regions     []string
@@ -34,7 +34,7 @@
 	services    []service
 }
 
-// Size and pace that both deployments share.
+// Sizes and move limits of all deployments.
 const (
 	domainsPerRegion = 2
 	blocksPerDomain  = 40
@@ -66,7 +66,7 @@
 	}
 }
 
-// sanad has 9 entry instances at the least; here 12, and 38 backend servers.
+// sanad needs at least 9 entry instances; here it has 12, and 38 backend servers.
 func sanad() deployment {
 	const connections = 330
 	return deployment{
@@ -86,7 +86,7 @@
 	}
 }
 
-// domains returns the failure domains, region by region.
+// domains returns the names of the failure domains, ordered by region.
 func (d deployment) domains() []string {
 	var names []string
 	for _, region := range d.regions {
@@ -101,7 +101,7 @@
 	return d.regions[position/domainsPerRegion]
 }
 
-// serversIn returns how many of a service's servers a failure domain has.
+// serversIn returns the number of a service's servers in a failure domain.
 func (d deployment) serversIn(s service, position int) int {
 	domains := len(d.domains())
 	count := s.servers / domains
@@ -123,7 +123,7 @@
 	}
 }
 
-// network returns the loopback network of a failure domain's clients.
+// network returns the loopback network of the clients next to a failure domain.
 func network(position int) string {
 	const first = 10
 	return fmt.Sprintf("127.%d.0.0/16", first+position)
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -16,20 +16,20 @@
 	"lovageyard.example/lovageyard/operator"
 )
 
-// Size and pace of the fleet's run.
+// Parameters of the fleet's measurements, and of the files in /proc that they read.
 const (
-	fleetChanges  = 30
-	fleetPause    = 500 * time.Millisecond
-	fleetInForce  = 30 * time.Second
-	fleetPoll     = 50 * time.Millisecond
-	quietFor      = 20 * time.Second
-	ticksASecond  = 100
-	statUserTime  = 11
-	statSysTime   = 12
-	statusBytesKB = 1024
+	fleetChanges        = 30
+	fleetChangePause    = 500 * time.Millisecond
+	fleetChangeTimeout  = 30 * time.Second
+	fleetPollInterval   = 50 * time.Millisecond
+	idleTime            = 20 * time.Second
+	clockTicksPerSecond = 100
+	statUserTimeField   = 11
+	statSystemTimeField = 12
+	kbPerMB             = 1024
 )
 
-// fleet is a deployment of many entry instances without load.
+// fleet is a deployment of 112 entry instances without load.
 func fleet() deployment {
 	d := deployment{name: "fleet", perDomain: 7, domainDelay: time.Millisecond, regionDelay: 10 * time.Millisecond}
 	for n := range 8 {
@@ -45,29 +45,28 @@
 	return d
 }
 
-// measureFleet makes changes and measures how long each takes to be in force at every
-// entry instance, and then what a quiet instance spends.
+// measureFleet measures the time from the acceptance of a change until it is in force at every entry
+// instance, and then the resources that an idle instance uses.
 func (d *demo) measureFleet(ctx context.Context) error {
 	fmt.Printf("fleet: %d entry instances, %d failure domains\n", len(d.entries), len(d.deployment.domains()))
-	var took []time.Duration
+	var times []time.Duration
 	k := d.deployment.services[0].lovageyardClass()
 	for n := range fleetChanges {
 		k.Importance = n % 10
-		span, err := d.change(ctx, k)
+		duration, err := d.change(ctx, k)
 		if err != nil {
 			return err
 		}
-		took = append(took, span)
-		time.Sleep(fleetPause)
+		times = append(times, duration)
+		time.Sleep(fleetChangePause)
 	}
-	slices.Sort(took)
-	fmt.Printf("accepted to in force everywhere, %d changes: median %s, largest %s\n", len(took),
-		took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
-	return d.quiet()
+	slices.Sort(times)
+	fmt.Printf("from acceptance to in force everywhere, %d changes: median %s, largest %s\n", len(times),
+		times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
+	return d.measureIdle()
 }
 
-// change puts a class in force and returns the time from its acceptance until every
-// instance has it.
+// change writes a class and returns the time from its acceptance until it is in force at every instance.
 func (d *demo) change(ctx context.Context, k lovageyard.Class) (time.Duration, error) {
 	known, err := d.operator.Class(ctx, k.Name)
 	if err != nil {
@@ -77,50 +76,50 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "change")
 	}
-	began := time.Now()
-	bound, cancel := context.WithTimeout(ctx, fleetInForce)
+	start := time.Now()
+	timeoutCtx, cancel := context.WithTimeout(ctx, fleetChangeTimeout)
 	defer cancel()
 	var waiting sync.WaitGroup
 	for _, e := range d.entries {
 		waiting.Go(func() {
 			client := operator.NewClient([]string{e.OperatorAddress})
-			for bound.Err() == nil {
-				health, err := client.Health(bound)
+			for timeoutCtx.Err() == nil {
+				health, err := client.Health(timeoutCtx)
 				if err == nil && health.Version >= accepted.Version {
 					return
 				}
-				time.Sleep(fleetPoll)
+				time.Sleep(fleetPollInterval)
 			}
 		})
 	}
 	waiting.Wait()
-	if bound.Err() != nil {
-		return 0, errors.Errorf("version %d was not in force everywhere in %s", accepted.Version, fleetInForce)
+	if timeoutCtx.Err() != nil {
+		return 0, errors.Errorf("version %d was not in force everywhere in %s", accepted.Version, fleetChangeTimeout)
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
 }
 
-// quiet prints what the entry instances spend while nobody asks anything.
-func (d *demo) quiet() error {
+// measureIdle prints the processor time and the memory that the entry instances use without requests.
+func (d *demo) measureIdle() error {
 	before := make([]float64, len(d.daemons))
 	for i, p := range d.daemons {
 		before[i] = processorSeconds(p)
 	}
-	time.Sleep(quietFor)
+	time.Sleep(idleTime)
 	var shares, sizes []float64
 	for i, p := range d.daemons {
-		shares = append(shares, 100*(processorSeconds(p)-before[i])/quietFor.Seconds())
+		shares = append(shares, 100*(processorSeconds(p)-before[i])/idleTime.Seconds())
 		sizes = append(sizes, residentMB(p))
 	}
 	slices.Sort(shares)
 	slices.Sort(sizes)
 	last := len(shares) - 1
-	fmt.Printf("quiet for %s: processor median %.2f%%, largest %.2f%% of a core; resident memory median %.0f MB, largest %.0f MB\n",
-		quietFor, shares[last/2], shares[last], sizes[last/2], sizes[last])
+	fmt.Printf("idle for %s: processor median %.2f%%, largest %.2f%% of a core; resident memory median %.0f MB, largest %.0f MB\n",
+		idleTime, shares[last/2], shares[last], sizes[last/2], sizes[last])
 	return nil
 }
 
-// processorSeconds returns the processor time that a process has used so far.
+// processorSeconds returns the user and system time of a process since its start, 0 if it can't be read.
 func processorSeconds(p *process) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
 	if err != nil {
@@ -128,12 +127,12 @@
 	}
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
-	user, _ := strconv.ParseFloat(fields[statUserTime], 64)
-	system, _ := strconv.ParseFloat(fields[statSysTime], 64)
-	return (user + system) / ticksASecond
+	user, _ := strconv.ParseFloat(fields[statUserTimeField], 64)
+	system, _ := strconv.ParseFloat(fields[statSystemTimeField], 64)
+	return (user + system) / clockTicksPerSecond
 }
 
-// residentMB returns the memory that a process holds.
+// residentMB returns the resident memory of a process, 0 if it can't be read.
 func residentMB(p *process) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	if err != nil {
@@ -142,7 +141,7 @@
 	for line := range strings.Lines(string(data)) {
 		if value, found := strings.CutPrefix(line, "VmRSS:"); found {
 			kb, _ := strconv.ParseFloat(strings.Fields(value)[0], 64)
-			return kb / statusBytesKB
+			return kb / kbPerMB
 		}
 	}
 	return 0
--- a/demo/main.go
+++ b/demo/main.go
@@ -14,14 +14,14 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// Times of the demo's events, from the start of the load.
+// Times of the demo's events, relative to the start of the load, and timeouts.
 const (
-	loadFor   = 42 * time.Second
-	drainAt   = 8 * time.Second
-	leaveAt   = 24 * time.Second
-	emptyIn   = 40 * time.Second
-	readyIn   = 60 * time.Second
-	pollEvery = 200 * time.Millisecond
+	loadDuration = 42 * time.Second
+	drainAt      = 8 * time.Second
+	stopAt       = 24 * time.Second
+	drainWithin  = 40 * time.Second
+	readyWithin  = 60 * time.Second
+	pollInterval = 200 * time.Millisecond
 )
 
 type options struct {
@@ -31,7 +31,7 @@
 	Choice     string `default:"shared" help:"How entry instances choose a backend server."`
 }
 
-// demo is one run.
+// demo is one run of a deployment.
 type demo struct {
 	deployment deployment
 	choice     string
@@ -82,13 +82,13 @@
 		return d.measureFleet(ctx)
 	}
 	fmt.Printf("%s: %d entry instances, %d failure domains; load for %s, drain of %s at %s, stop of %s at %s\n",
-		d.deployment.name, len(d.entries), len(d.deployment.domains()), loadFor, d.deployment.domains()[0], drainAt,
-		d.entries[len(d.entries)-1].Name, leaveAt)
-	return d.underLoad(ctx)
+		d.deployment.name, len(d.entries), len(d.deployment.domains()), loadDuration, d.deployment.domains()[0], drainAt,
+		d.entries[len(d.entries)-1].Name, stopAt)
+	return d.runUnderLoad(ctx)
 }
 
-// underLoad sends the load, drains a site and stops an entry instance meanwhile.
-func (d *demo) underLoad(ctx context.Context) error {
+// runUnderLoad generates load, drains a site and stops an entry instance under it, and prints the summary.
+func (d *demo) runUnderLoad(ctx context.Context) error {
 	results := filepath.Join(d.logs, "results.json")
 	load, err := d.startProcess("load", "lovageyard-load", nil, d.loadArgs(results)...)
 	if err != nil {
@@ -97,10 +97,10 @@
 	time.Sleep(drainAt)
 	d.drained = d.deployment.domains()[0]
 	d.drainedAt = time.Now()
-	if err := d.operator.Drain(ctx, d.drained, time.Now().Add(emptyIn)); err != nil {
+	if err := d.operator.Drain(ctx, d.drained, time.Now().Add(drainWithin)); err != nil {
 		return errors.Wrap(err, "drain")
 	}
-	time.Sleep(leaveAt - drainAt)
+	time.Sleep(stopAt - drainAt)
 	last := d.daemons[len(d.daemons)-1]
 	if err := last.stop(); err != nil {
 		return errors.Wrap(err, "stop of an entry instance")
@@ -109,11 +109,11 @@
 	if load.err != nil {
 		return errors.Wrap(load.err, "load")
 	}
-	return d.account(results)
+	return d.printSummary(results)
 }
 
 func (d *demo) loadArgs(results string) []string {
-	args := []string{"--duration", loadFor.String(), "--json", results, "--timeout", "10s"}
+	args := []string{"--duration", loadDuration.String(), "--json", results, "--timeout", "10s"}
 	for position := range d.deployment.domains() {
 		args = append(args, "--network", network(position))
 	}
@@ -127,7 +127,7 @@
 	return args
 }
 
-// stopAll asks all processes to leave at once, and waits.
+// stopAll stops all running processes concurrently and returns the first error.
 func (d *demo) stopAll() error {
 	failures := make(chan error, len(d.processes))
 	for _, p := range d.processes {
--- a/demo/process.go
+++ b/demo/process.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of the processes that the demo starts.
+// Timeouts of starting and stopping a process.
 const (
 	readyTimeout = 10 * time.Second
 	stopTimeout  = 20 * time.Second
@@ -27,8 +27,8 @@
 	err     error
 }
 
-// startProcess starts a program of the bin directory, writes its log to a file, and
-// reads the line that it announces itself with into ready, unless that is nil.
+// startProcess starts a program of the bin directory with its standard error written to a log file. Unless
+// ready is nil, it decodes the first line of output, which announces the addresses, into it.
 func (d *demo) startProcess(name, program string, ready any, args ...string) (*process, error) {
 	log, err := os.Create(filepath.Join(d.logs, name+".log"))
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	d.processes = append(d.processes, p)
 	if ready == nil {
-		go p.reap()
+		go p.waitExit()
 		return p, nil
 	}
 	lines := make(chan []byte, 1)
@@ -57,7 +57,7 @@
 			lines <- append([]byte(nil), scanner.Bytes()...)
 		}
 		close(lines)
-		p.reap()
+		p.waitExit()
 	}()
 	select {
 	case line := <-lines:
@@ -67,13 +67,13 @@
 	}
 }
 
-func (p *process) reap() {
+func (p *process) waitExit() {
 	p.err = p.command.Wait()
 	p.log.Close()
 	close(p.exited)
 }
 
-// stop asks the process to leave and waits for its end.
+// stop sends SIGTERM and waits until the process exits. It kills the process after stopTimeout.
 func (p *process) stop() error {
 	_ = p.command.Process.Signal(syscall.SIGTERM)
 	select {
--- a/demo/start.go
+++ b/demo/start.go
@@ -100,7 +100,7 @@
 	return response.Body.Close()
 }
 
-// configure stores the table of blocks and puts the classes in force.
+// configure writes the table of client blocks and the classes.
 func (d *demo) configure(ctx context.Context) error {
 	var entries []block.Entry
 	for position, domain := range d.deployment.domains() {
@@ -127,17 +127,18 @@
 	return nil
 }
 
-// waitReady waits until every entry instance knows the blocks and has placed every class.
+// waitReady waits until every entry instance has the table of blocks, knows all others and has placed every
+// class.
 func (d *demo) waitReady(ctx context.Context) error {
-	bound, cancel := context.WithTimeout(ctx, readyIn)
+	timeoutCtx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	for _, e := range d.entries {
 		client := operator.NewClient([]string{e.OperatorAddress})
-		for !d.isReady(bound, client) {
-			if bound.Err() != nil {
-				return errors.Errorf("%s was not ready in %s", e.Name, readyIn)
+		for !d.isReady(timeoutCtx, client) {
+			if timeoutCtx.Err() != nil {
+				return errors.Errorf("%s was not ready in %s", e.Name, readyWithin)
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
