--- a/catalog/older_test.go
+++ b/catalog/older_test.go
@@ -11,16 +11,16 @@
 	"lovageyard.example/lovageyard/catalog"
 )
 
-// anything decodes every row to a record that changes nothing.
-type anything struct{}
+// ignoringDecoder accepts every row and returns an empty record.
+type ignoringDecoder struct{}
 
-func (anything) Decode(r lovageyard.Row) (lovageyard.Record, error) {
+func (ignoringDecoder) Decode(r lovageyard.Row) (lovageyard.Record, error) {
 	return lovageyard.Record{Key: r.Key, Version: r.Version}, nil
 }
 
-func TestOlderValuesOfLargeRowsAreKept(t *testing.T) {
+func TestPreviousValuesOfLargeRowsAreKept(t *testing.T) {
 	c := qt.New(t)
-	s := catalog.NewState(anything{})
+	s := catalog.NewState(ignoringDecoder{})
 	put := func(version int64, size int) lovageyard.Row {
 		r := lovageyard.Row{Table: lovageyard.TableOrders, Key: "config", Version: version, Value: bytes.Repeat([]byte{byte(version)}, size)}
 		applied, _ := s.ApplyChanges(r.Table, lovageyard.Changes{After: s.Cursor(r.Table), To: version, Rows: []lovageyard.Row{r}}, time.Time{})
@@ -34,25 +34,25 @@
 		known int64
 		want  *lovageyard.Row
 	}{{5, nil}, {10, &first}, {19, &first}, {20, &second}, {29, &second}, {30, &second}} {
-		base, found := s.Base(last, test.known)
+		base, found := s.DeltaBase(last, test.known)
 		c.Assert(found, qt.Equals, test.want != nil, qt.Commentf("known to %d", test.known))
 		if found {
 			c.Assert(base, qt.DeepEquals, *test.want)
 		}
 	}
-	value, found := s.Value(lovageyard.TableOrders, "config", 10)
+	value, found := s.ValueAt(lovageyard.TableOrders, "config", 10)
 	c.Assert(found, qt.IsTrue)
 	c.Assert(value, qt.DeepEquals, first.Value)
-	_, found = s.Value(lovageyard.TableOrders, "config", 11)
+	_, found = s.ValueAt(lovageyard.TableOrders, "config", 11)
 	c.Assert(found, qt.IsFalse)
 
-	// What is kept is bounded.
+	// The oldest values are dropped beyond the limit.
 	for version := int64(40); version < 80; version += 10 {
 		last = put(version, 5<<20)
 	}
-	_, found = s.Base(last, 50)
+	_, found = s.DeltaBase(last, 50)
 	c.Assert(found, qt.IsFalse)
-	base, found := s.Base(last, 60)
+	base, found := s.DeltaBase(last, 60)
 	c.Assert(found, qt.IsTrue)
 	c.Assert(base.Version, qt.Equals, int64(60))
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -157,7 +157,7 @@
 // start runs an instance; its name is its address, and its failure domain the name's start.
 func (y *yard) start(name string, life int64) *Control {
 	self := lovageyard.EntryInstance{
-		Name: name, Life: life, FailureDomain: name[:2], Region: name[:1],
+		Name: name, Incarnation: life, FailureDomain: name[:2], Region: name[:1],
 		PeerAddress: name, CallerAddress: name, State: lovageyard.StateLive,
 	}
 	logger := logrus.New()
@@ -166,10 +166,10 @@
 	c := New(Settings{
 		Self: self, Table: p, Objects: p, Instances: p, Backend: p, Peers: p, Timer: y.clock, Recorder: p,
 		Logger: logger, Metrics: metrics.NewRegistry(), KeepFor: time.Second, Headroom: 0.2,
-		SeedPeers: []string{"a1-1", "a1-2"},
-		Pool:      server.Settings{Mode: server.Shared, QueuePerSlot: 1},
-		Latencies: placement.Latencies{SameRegion: time.Millisecond, Else: 10 * time.Millisecond},
-		LeaseSpan: 6 * time.Second, Seed: uint64(life),
+		SeedPeers:     []string{"a1-1", "a1-2"},
+		Pool:          server.Settings{Mode: server.Shared, QueuePerSlot: 1},
+		Latencies:     placement.Latencies{SameRegion: time.Millisecond, OtherRegion: 10 * time.Millisecond},
+		LeaseDuration: 6 * time.Second, Seed: uint64(life),
 	})
 	y.mu.Lock()
 	y.controls[name] = c
@@ -268,7 +268,7 @@
 	for _, name := range names {
 		placed := false
 		for _, m := range y.status(name).Moves {
-			placed = placed || m.Class == class && m.Step > 0 && m.StepHere == m.Step
+			placed = placed || m.Class == class && m.Step > 0 && m.LocalStep == m.Step
 		}
 		if !placed {
 			return false
@@ -430,7 +430,7 @@
 	y.controls["a1-1"].ServerLeaving("desk", "a1", "a1-desk")
 	took := y.until("no new work", func() bool {
 		for _, name := range []string{"a1-1", "a1-2", "a1-3"} {
-			if y.status(name).Pools[0].Takers != 0 {
+			if y.status(name).Pools[0].Available != 0 {
 				return false
 			}
 		}
@@ -446,13 +446,13 @@
 	y.put("lookups", 0.5)
 	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
 	for _, name := range everyone {
-		y.controls[name].Snapshot().Work("lookups").Sites[2].Pool.Suspect("b1-desk")
-		y.controls[name].Snapshot().Work("lookups").Sites[0].Pool.Suspect(name[:2] + "-desk")
+		y.controls[name].Snapshot().ClassRoute("lookups").Sites[2].Pool.MarkUnreachable("b1-desk")
+		y.controls[name].Snapshot().ClassRoute("lookups").Sites[0].Pool.MarkUnreachable(name[:2] + "-desk")
 	}
 	y.until("probes lift the suspicion", func() bool {
 		for _, name := range everyone {
 			for _, p := range y.status(name).Pools {
-				if p.Takers == 0 {
+				if p.Available == 0 {
 					return false
 				}
 			}
@@ -469,14 +469,14 @@
 	y.put("lookups", 0.5)
 	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
 	c := y.controls["a1-1"]
-	place, home := c.Snapshot().Place(netip.MustParseAddr("192.0.2.1"))
+	place, home := c.Snapshot().Locate(netip.MustParseAddr("192.0.2.1"))
 	const rounds, perRound = 150, 20
 	forced := 0
 	for n := range rounds {
-		work := c.Snapshot().Work("lookups")
+		work := c.Snapshot().ClassRoute("lookups")
 		for range perRound {
-			work.Count(place, home)
-			if n >= rounds/2 && work.Gate.TakeForced() {
+			work.CountRequest(place, home)
+			if n >= rounds/2 && work.Limiter.AllowFailover() {
 				forced++
 			}
 		}
--- a/control/report.go
+++ b/control/report.go
@@ -59,7 +59,7 @@
 func forServices(merged *wire.DemandReport, services []string, index *class.Index) *wire.DemandReport {
 	part := &wire.DemandReport{FailureDomain: merged.GetFailureDomain(), Reporter: merged.GetReporter(), Merged: true}
 	concerns := func(name string) bool {
-		k := index.Named(name)
+		k := index.ByName(name)
 		return k != nil && slices.Contains(services, k.Service)
 	}
 	for _, d := range merged.GetClasses() {
@@ -123,7 +123,7 @@
 
 // report tells what this instance knows of a pool.
 func (p *pool) report(k poolKey, now time.Time) *wire.SiteReport {
-	census := p.Census(now)
+	census := p.Stats(now)
 	passed := now.Sub(p.measured).Seconds()
 	if passed > 0 {
 		p.rate = float64(census.Answers-p.answers) / passed
@@ -134,8 +134,8 @@
 		Service:     k.service,
 		Site:        k.site,
 		Load:        p.rate,
-		Alive:       census.Takers > 0,
-		MeanSeconds: census.Service.Seconds(),
+		Alive:       census.Available > 0,
+		MeanSeconds: census.ServiceTime.Seconds(),
 	}
 }
 
--- a/dispatch/census.go
+++ b/dispatch/census.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Census counts what the table holds, for metrics.
-type Census struct {
+// Stats are the counts that a Table exports as metrics.
+type Stats struct {
 	Servers  int
 	Suspects int
 	InFlight int
-	// Limited counts the servers that name a limit to what they take.
+	// Limited counts the servers that have set a rate limit.
 	Limited int
-	// Leaving counts those that have said in answers that they leave.
+	// Leaving counts the servers that have announced in a response that they are shutting down.
 	Leaving int
-	// BackingOff counts those that want nothing from this instance for now.
+	// BackingOff counts the servers that have requested a backoff which has not ended.
 	BackingOff int
-	// Elsewhere is, for each service, the share of the region's requests that runs in other regions.
-	Elsewhere map[string]float64
+	// RemoteShares is the share of the region's requests that runs in other regions, by service.
+	RemoteShares map[string]float64
 }
 
-// Census returns the counts at a time.
-func (t *Table) Census(now time.Time) Census {
+// Stats returns the counts at a time. It is safe for concurrent use.
+func (t *Table) Stats(now time.Time) Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := Census{Elsewhere: make(map[string]float64)}
+	c := Stats{RemoteShares: make(map[string]float64)}
 	for name, s := range t.services {
-		if s.spill != nil {
-			c.Elsewhere[name] = s.spill.share
+		if s.spillover != nil {
+			c.RemoteShares[name] = s.spillover.share
 		}
 	}
-	for _, one := range t.servers {
+	for _, b := range t.servers {
 		c.Servers++
-		c.InFlight += one.inFlight
-		if one.isSuspect(now) {
+		c.InFlight += b.inFlight
+		if b.isSuspect(now) {
 			c.Suspects++
 		}
-		if _, limited := one.record.Limit(); limited {
+		if _, limited := b.record.Limit(); limited {
 			c.Limited++
 		}
-		if one.record.Leaving() {
+		if b.record.Leaving() {
 			c.Leaving++
-		} else if one.record.Refuses(now) {
+		} else if b.record.Rejects(now) {
 			c.BackingOff++
 		}
 	}
--- a/dispatch/notice.go
+++ b/dispatch/notice.go
@@ -7,125 +7,128 @@
 	"lovageyard.example/lovageyard/backpressure"
 )
 
-// The load that this file answers: servers that ask for less than they would get, in answers to any request,
-// whichever way it came to them.
+// Servers may request a rate limit, a backoff or no further requests with any response, whatever
+// route the request took. The records of these requests are kept per incarnation of a server.
 
 const (
-	// forgetAfter is how long what a server asked for is kept while the platform does not list it: its entry may
-	// lapse in an outage and come back.
-	forgetAfter = 10 * time.Minute
-	// restartAfter is the same for a server that does not tell its lives apart: one that is listed again later than
-	// that has started anew.
-	restartAfter = 5 * time.Second
+	// recordTTL is how long the record of a server is kept while the platform does not list the
+	// server: its entry may expire during an outage of the platform and return.
+	recordTTL = 10 * time.Minute
+	// assumedRestartGap is the same for a server that does not report its incarnation. One that is
+	// listed again after a longer gap is taken to have restarted.
+	assumedRestartGap = 5 * time.Second
 )
 
-// life is one life of a server.
-type life struct {
-	name  string
-	start int64
+// incarnation identifies one incarnation of a server.
+type incarnation struct {
+	name      string
+	startedAt int64
 }
 
-func lifeOf(s lovageyard.BackendServer) life {
-	return life{name: s.Name, start: s.Life}
+func incarnationOf(s lovageyard.BackendServer) incarnation {
+	return incarnation{name: s.Name, startedAt: s.Incarnation}
 }
 
-// keptRecord is what a server asked for.
-type keptRecord struct {
+// recordEntry is the backpressure record of one incarnation.
+type recordEntry struct {
 	record *backpressure.Record
-	// heardAt is when the server was heard last, and unlistedAt when the platform ceased to list it; zero if it lists it.
-	heardAt    time.Time
+	// lastSeen is when the server last answered, and unlistedAt when the platform stopped listing
+	// it; zero while it is listed.
+	lastSeen   time.Time
 	unlistedAt time.Time
 }
 
-type notices map[life]*keptRecord
+type recordTable map[incarnation]*recordEntry
 
-// recordOf returns the record of a server that is listed, a new one if it has asked for nothing.
+// recordOf returns the record of a listed server, or a new one if the server has not requested
+// anything.
 func (t *Table) recordOf(s lovageyard.BackendServer, now time.Time) *backpressure.Record {
-	kept := t.notices[lifeOf(s)]
-	if kept != nil && s.Life == 0 && !kept.unlistedAt.IsZero() && now.Sub(kept.unlistedAt) > restartAfter {
-		delete(t.notices, lifeOf(s))
-		kept = nil
+	entry := t.records[incarnationOf(s)]
+	if entry != nil && s.Incarnation == 0 && !entry.unlistedAt.IsZero() && now.Sub(entry.unlistedAt) > assumedRestartGap {
+		delete(t.records, incarnationOf(s))
+		entry = nil
 	}
-	if kept == nil {
+	if entry == nil {
 		return backpressure.NewRecord(t.settings.Self, s.Name, t.instances)
 	}
-	return kept.record
+	return entry.record
 }
 
-// Hear takes in what an answer of a server asks for; its request was sent at a time. It says what that has
-// changed.
-func (t *Table) Hear(s lovageyard.BackendServer, n lovageyard.Notice, sentAt, now time.Time) backpressure.Change {
+// Observe applies the backpressure that a response of a server requests, and returns what has
+// changed. The request was sent at sentAt.
+func (t *Table) Observe(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt, now time.Time) backpressure.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kept := t.notices[lifeOf(s)]
-	if kept == nil {
-		if n == (lovageyard.Notice{}) {
+	entry := t.records[incarnationOf(s)]
+	if entry == nil {
+		if n == (lovageyard.Backpressure{}) {
 			return backpressure.Change{}
 		}
-		kept = t.keep(s, now)
+		entry = t.addRecord(s, now)
 	}
-	kept.heardAt = now
-	return kept.record.Hear(n, sentAt, now)
+	entry.lastSeen = now
+	return entry.record.Observe(n, sentAt, now)
 }
 
-// keep keeps the record of a server from now on.
-func (t *Table) keep(s lovageyard.BackendServer, now time.Time) *keptRecord {
-	kept := &keptRecord{record: backpressure.NewRecord(t.settings.Self, s.Name, t.instances)}
-	if known := t.servers[s.Name]; known != nil && known.Life == s.Life {
-		kept.record = known.record
-		kept.record.SetInstances(t.instances, now)
+// addRecord starts to keep the record of a server.
+func (t *Table) addRecord(s lovageyard.BackendServer, now time.Time) *recordEntry {
+	entry := &recordEntry{record: backpressure.NewRecord(t.settings.Self, s.Name, t.instances)}
+	if known := t.servers[s.Name]; known != nil && known.Incarnation == s.Incarnation {
+		entry.record = known.record
+		entry.record.SetInstances(t.instances, now)
 	} else {
-		kept.unlistedAt = now
+		entry.unlistedAt = now
 	}
-	t.notices[lifeOf(s)] = kept
-	return kept
+	t.records[incarnationOf(s)] = entry
+	return entry
 }
 
-// relist notes which servers the platform lists, and forgets records that are too old.
-func (t *Table) relist(now time.Time) {
-	for one, kept := range t.notices {
-		known := t.servers[one.name]
-		isListed := known != nil && known.record == kept.record
+// updateListed records which servers the platform lists, and deletes expired records.
+func (t *Table) updateListed(now time.Time) {
+	for key, entry := range t.records {
+		known := t.servers[key.name]
+		isListed := known != nil && known.record == entry.record
 		switch {
 		case isListed:
-			kept.unlistedAt = time.Time{}
-		case kept.unlistedAt.IsZero():
-			kept.unlistedAt = now
-		case now.Sub(kept.unlistedAt) > forgetAfter && now.Sub(kept.heardAt) > forgetAfter:
-			delete(t.notices, one)
+			entry.unlistedAt = time.Time{}
+		case entry.unlistedAt.IsZero():
+			entry.unlistedAt = now
+		case now.Sub(entry.unlistedAt) > recordTTL && now.Sub(entry.lastSeen) > recordTTL:
+			delete(t.records, key)
 		}
 	}
 }
 
-// MaySendAgain says whether the server of a choice may get the request once more, and takes that from what it
-// allows.
-func (t *Table) MaySendAgain(c Choice, now time.Time) bool {
+// TakeResend reports whether the server of a choice accepts the request once more, and counts the
+// request against the server's limit.
+func (t *Table) TakeResend(c Choice, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !c.server.record.Allows(now) {
 		return false
 	}
-	c.server.record.Take(now)
+	c.server.record.RecordSend(now)
 	return true
 }
 
-// MaySend says whether the server of a choice still takes the request, which was chosen a moment ago.
+// MaySend reports whether the server of a choice still accepts the request, unless it has requested
+// a backoff or no further requests since the choice was made.
 func (t *Table) MaySend(c Choice, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !c.server.record.Refuses(now)
+	return !c.server.record.Rejects(now)
 }
 
-// heldBackUntil returns when a server takes the request that could run it but for what it has asked for, if there is
-// one.
-func (t *Table) heldBackUntil(r Request, s *service) (time.Time, bool) {
+// backpressureUntil returns the earliest time at which a server accepts the request, among those
+// that are not eligible because of backpressure only, and whether there is any.
+func (t *Table) backpressureUntil(r Request, s *service) (time.Time, bool) {
 	var earliest time.Time
 	found := false
-	for _, one := range s.servers {
-		if !t.couldRun(r, s, one) || one.record.Allows(r.Now) {
+	for _, b := range s.servers {
+		if !t.isEligibleExceptBackpressure(r, s, b) || b.record.Allows(r.Now) {
 			continue
 		}
-		if until, ever := one.record.Until(r.Now); ever && (!found || until.Before(earliest)) {
+		if until, ever := b.record.EarliestSend(r.Now); ever && (!found || until.Before(earliest)) {
 			earliest, found = until, true
 		}
 	}
--- a/dispatch/spill.go
+++ b/dispatch/spill.go
@@ -2,63 +2,64 @@
 
 import "time"
 
-// Weights of the share of requests that run in other regions.
+// Parameters of the share of requests that run in other regions.
 const (
-	// leavePart is the part of the bound on shifts that work which leaves the region may use in
-	// one window. Chance adds about as much.
-	leavePart = 0.4
-	// returnPart is the same for work that comes back: what has come home is missing elsewhere when the
-	// next wave of requests arrives faster than work may leave.
-	returnPart = 0.04
-	// wishWeight is the weight of one request's wish in the wanted share.
-	wishWeight = 0.03
+	// outboundFraction is the part of the allowed change per window that requests leaving the
+	// region may use. Random variation adds about as much.
+	outboundFraction = 0.4
+	// returnFraction is the same for requests that return to the region. It is small because
+	// returned capacity is missing elsewhere when the next peak arrives faster than requests may
+	// leave.
+	returnFraction = 0.04
+	// targetWeight is the weight of one request in the target share.
+	targetWeight = 0.03
 )
 
-// usualLoad is the part of all slots that is taken to be busy when an instance starts and
-// knows no better: nearly all, as every object runs cold once.
-const usualLoad = 0.9
+// initialUtilisation is the assumed utilisation of all slots when an instance starts. It is high,
+// as every object runs uncached once.
+const initialUtilisation = 0.9
 
-// ShiftBound is the largest share of a region's requests that may change the region in which
-// they run from one window to the next; Window is above 0.
+// ShiftBound limits how much the share of a region's requests that runs in each region may change
+// from one window to the next. Window must be above 0.
 type ShiftBound struct {
-	Largest float64
-	Window  time.Duration
+	MaxChange float64
+	Window    time.Duration
 }
 
-// spill paces how much of a service's work leaves the region.
-type spill struct {
-	share  float64
-	wanted float64
-	at     time.Time
+// spillover limits the rate of change of the share of a service's requests that leave the region.
+type spillover struct {
+	share     float64
+	target    float64
+	updatedAt time.Time
 }
 
-// firstSpill returns the share to begin with: what a region that asks for its part of the
-// work can't run on its part of the slots.
-func firstSpill(slotsHere, slotsAll int, demandHere float64) spill {
+// initialSpillover returns the initial share: the part of the region's demand that exceeds its part
+// of the slots. demandHere is the region's part of the total demand.
+func initialSpillover(slotsHere, slotsAll int, demandHere float64) spillover {
 	if slotsAll == 0 || demandHere <= 0 {
-		return spill{}
+		return spillover{}
 	}
 	capacity := float64(slotsHere) / float64(slotsAll)
-	share := max(0, 1-capacity/(usualLoad*demandHere))
-	return spill{share: share, wanted: share}
+	share := max(0, 1-capacity/(initialUtilisation*demandHere))
+	return spillover{share: share, target: share}
 }
 
-// wish notes whether a request would be answered sooner elsewhere.
-func (s *spill) wish(elsewhere bool, bound ShiftBound, now time.Time) {
+// update updates the share with whether a request would be answered sooner in another region.
+func (s *spillover) update(elsewhere bool, bound ShiftBound, now time.Time) {
 	sample := 0.0
 	if elsewhere {
 		sample = 1
 	}
-	if s.at.IsZero() {
-		s.at = now
+	if s.updatedAt.IsZero() {
+		s.updatedAt = now
 	}
-	s.wanted += wishWeight * (sample - s.wanted)
-	step := bound.Largest * now.Sub(s.at).Seconds() / bound.Window.Seconds()
-	s.at = now
-	s.share += min(leavePart*step, max(-returnPart*step, s.wanted-s.share))
+	s.target += targetWeight * (sample - s.target)
+	step := bound.MaxChange * now.Sub(s.updatedAt).Seconds() / bound.Window.Seconds()
+	s.updatedAt = now
+	s.share += min(outboundFraction*step, max(-returnFraction*step, s.target-s.share))
 }
 
-// leaves says whether a request at a position, 0 to 1, is in the share that leaves.
-func (s *spill) leaves(position float64) bool {
+// isRemote reports whether a request at a position, from 0 to 1, belongs to the share that leaves.
+func (s *spillover) isRemote(position float64) bool {
 	return position < s.share
 }
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -27,8 +27,8 @@
 // Source gives the view in force.
 type Source interface {
 	View() *catalog.View
-	// KnowledgeAge returns how long ago the configuration in force was known to be the newest.
-	KnowledgeAge() time.Duration
+	// ConfirmationAge returns how long ago the configuration in force was known to be the newest.
+	ConfirmationAge() time.Duration
 }
 
 // Codec translates the headers of the wire.
@@ -42,27 +42,27 @@
 
 // Sender makes one attempt at a backend server; a failure is a *lovageyard.RequestError.
 type Sender interface {
-	Send(ctx context.Context, r link.Request) (*link.Answer, error)
+	Send(ctx context.Context, r link.Request) (*link.Response, error)
 	Forget(server string)
 }
 
 // Quarantine judges requests by the servers that ended under them; requests go by their fingerprints.
 type Quarantine interface {
-	Judge(request uint64) quarantine.Judgement
-	Lost(server lovageyard.BackendServer, request uint64, sentAt time.Time)
-	Ended(server lovageyard.BackendServer)
-	Answered(request uint64)
+	Evaluate(request uint64) quarantine.Decision
+	RecordLoss(server lovageyard.BackendServer, request uint64, sentAt time.Time)
+	RecordCrash(server lovageyard.BackendServer)
+	RecordSuccess(request uint64)
 }
 
 // Quota judges whether requests are within the limits of their accounts.
 type Quota interface {
-	Admit(ctx context.Context, a *lovageyard.Account) quota.Answer
+	Admit(ctx context.Context, a *lovageyard.Account) quota.Decision
 	// Return takes back the admission of a request that has not run and will not.
 	Return(a *lovageyard.Account)
 }
 
-// Parts are what a Handler is made of.
-type Parts struct {
+// Settings are what a Handler is made of.
+type Settings struct {
 	Source     Source
 	Codec      Codec
 	Sender     Sender
@@ -77,12 +77,12 @@
 
 // Handler forwards callers' requests.
 type Handler struct {
-	Parts
+	Settings
 }
 
 // NewHandler returns a handler.
-func NewHandler(p Parts) *Handler {
-	return &Handler{Parts: p}
+func NewHandler(p Settings) *Handler {
+	return &Handler{Settings: p}
 }
 
 // ServeHTTP answers one request.
@@ -136,7 +136,7 @@
 
 // serve checks the request and runs it.
 func (x *exchange) serve() {
-	if x.view.Closing || x.view.Configuration == nil {
+	if x.view.Refusing || x.view.Configuration == nil {
 		x.refuse(causeClosing, "this instance takes no requests", retrySoon, nil)
 		return
 	}
@@ -167,7 +167,7 @@
 		x.refuse(causeClosing, "this instance ends before the answer is due", retrySoon, nil)
 		return
 	}
-	if j := x.judge(); j.Held {
+	if j := x.judge(); j.Quarantined {
 		x.refuse(causeHeld, "servers end under this request", j.Until.Sub(x.began), nil)
 		return
 	}
@@ -182,14 +182,14 @@
 }
 
 // judge returns what is thought of the request.
-func (x *exchange) judge() quarantine.Judgement {
-	return x.handler.Quarantine.Judge(x.fingerprint)
+func (x *exchange) judge() quarantine.Decision {
+	return x.handler.Quarantine.Evaluate(x.fingerprint)
 }
 
 // outlivesInstance says whether the request may last longer than this instance, which leaves. It
 // would be cut off while its server is at work; another instance takes it at once.
 func (x *exchange) outlivesInstance() bool {
-	return x.view.Leaving && x.end.After(x.view.EndsAt)
+	return x.view.Leaving && x.end.After(x.view.ShutdownAt)
 }
 
 // setDeadlines sets when the servers have to be done, which is the shorter of the client's
@@ -201,7 +201,7 @@
 		limit = defaultDeadline
 		end = limit
 	}
-	if client := x.meta.Deadline; client > 0 {
+	if client := x.meta.Timeout; client > 0 {
 		limit = min(limit, client)
 		end = min(end, client-answerMargin)
 	}
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -48,10 +48,10 @@
 	logger    *logrus.Logger
 	timer     lovageyard.Timer
 	control   *control.Control
-	link      *link.Link
+	link      *link.Transport
 	platform  *platform.Store
 	peers     *peer.Client
-	charges   *charge.Book
+	charges   *charge.Store
 	callers   *http.Server
 	peering   *http.Server
 	operators *http.Server
@@ -106,7 +106,7 @@
 	clock := timer.Clock{}
 	self := lovageyard.EntryInstance{
 		Name:            o.Instance,
-		Life:            clock.Now().UnixNano(),
+		Incarnation:     clock.Now().UnixNano(),
 		FailureDomain:   o.FailureDomain,
 		Region:          o.Region,
 		CallerAddress:   l.callers.Addr().String(),
@@ -133,33 +133,33 @@
 		options:  o,
 		logger:   logger,
 		timer:    clock,
-		link:     link.New(link.OwnHeaders{}, clock, nil),
+		link:     link.New(link.LoadHeaderCodec{}, clock, nil),
 		platform: platform.NewStore(o.PlatformAddress, logger),
 		peers:    peer.NewClient(),
 	}
 	registry := metrics.NewRegistry()
 	recorder := decision.NewLog(logger)
 	d.control = control.New(control.Settings{
-		Self:      self,
-		Table:     d.platform,
-		Objects:   d.platform,
-		Instances: d.platform,
-		Backend:   d.link,
-		Peers:     d.peers,
-		Timer:     clock,
-		Recorder:  recorder,
-		Logger:    logger,
-		Metrics:   registry,
-		SeedPeers: o.PeerAddresses,
-		KeepFor:   o.KeepFor,
-		Headroom:  o.Headroom,
-		Pool:      server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
-		Latencies: placement.Latencies{SameRegion: o.SameRegionDelay, Else: o.OtherRegionDelay},
-		LeaseSpan: o.LeaseSpan,
-		Seed:      uint64(self.Life),
+		Self:          self,
+		Table:         d.platform,
+		Objects:       d.platform,
+		Instances:     d.platform,
+		Backend:       d.link,
+		Peers:         d.peers,
+		Timer:         clock,
+		Recorder:      recorder,
+		Logger:        logger,
+		Metrics:       registry,
+		SeedPeers:     o.PeerAddresses,
+		KeepFor:       o.KeepFor,
+		Headroom:      o.Headroom,
+		Pool:          server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
+		Latencies:     placement.Latencies{SameRegion: o.SameRegionDelay, OtherRegion: o.OtherRegionDelay},
+		LeaseDuration: o.LeaseSpan,
+		Seed:          uint64(self.Incarnation),
 	})
-	d.charges = charge.NewBook(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Life))
-	handler := caller.NewHandler(caller.Parts{
+	d.charges = charge.NewStore(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
+	handler := caller.NewHandler(caller.Settings{
 		Source:   d.control,
 		Watcher:  d.control,
 		Charges:  d.charges,
@@ -182,7 +182,7 @@
 	for {
 		select {
 		case now := <-watch.C():
-			d.link.Expire(now)
+			d.link.CloseExpired(now)
 		case <-leave:
 			return
 		}
--- a/placement/round_test.go
+++ b/placement/round_test.go
@@ -12,7 +12,7 @@
 
 var testNow = time.Unix(10000, 0)
 
-// sites returns sites a1, a2 of region a and b1 of region b, each in a failure domain of its name.
+// sites returns sites a1 and a2 in region a and b1 in region b, each in a failure domain of the same name.
 func sites(capacity float64) []Site {
 	return []Site{
 		{Name: "a1", FailureDomain: "a1", Region: "a", Capacity: capacity, Alive: true},
@@ -44,7 +44,7 @@
 		},
 		Sites:     sites(capacity),
 		Homes:     homes(demand),
-		Latencies: Latencies{SameRegion: 2 * time.Millisecond, Else: 35 * time.Millisecond},
+		Latencies: Latencies{SameRegion: 2 * time.Millisecond, OtherRegion: 35 * time.Millisecond},
 		Headroom:  0.2,
 	}
 }
@@ -58,7 +58,7 @@
 	return counts
 }
 
-// loads adds up the demand that a plan gives each site.
+// loads returns the total demand that a plan assigns to each site.
 func loads(in Input, p lovageyard.ClassPlan) map[string]float64 {
 	sums := make(map[string]float64)
 	for _, h := range in.Homes {
@@ -88,9 +88,9 @@
 	for _, test := range []struct {
 		name   string
 		change func(in *Input)
-		// empty names a site that the plan gives no work.
+		// empty is a site that must have no buckets.
 		empty string
-		// goal names the site that takes the work of home a1.
+		// goal is the site that must have all buckets of home a1.
 		goal   string
 		state  lovageyard.MoveState
 		inTime bool
@@ -109,7 +109,7 @@
 			state: lovageyard.MoveShifting, inTime: true, reason: "work moves within the cap"},
 		{name: "site not in the target", change: func(in *Input) { in.Class.Target.Sites = []string{"b1"} }, empty: "a1", goal: "b1",
 			state: lovageyard.MoveShifting, inTime: true, reason: "work moves within the cap"},
-		{name: "nearest site is stale", change: func(in *Input) { drain("a1", time.Time{})(in); in.Sites[1].Age = StaleAfter }, empty: "a1", goal: "b1",
+		{name: "nearest site is stale", change: func(in *Input) { drain("a1", time.Time{})(in); in.Sites[1].Age = StaleAge }, empty: "a1", goal: "b1",
 			state: lovageyard.MoveShifting, inTime: true, reason: "work moves within the cap"},
 		{name: "nearest site is of unknown capacity", change: func(in *Input) { drain("a1", time.Time{})(in); in.Sites[1].Capacity = 0 }, empty: "a1", goal: "b1",
 			state: lovageyard.MoveShifting, inTime: true, reason: "work moves within the cap"},
@@ -123,7 +123,7 @@
 			c := qt.New(t)
 			in := input(1000, 100)
 			in.Current = Round(in).Plan
-			in.Reached = 1
+			in.AppliedStep = 1
 			test.change(&in)
 			out := Round(in)
 			c.Assert(out.Reason, qt.Matches, test.reason)
@@ -157,14 +157,14 @@
 	return 0
 }
 
-func TestMoveIsHeldWhileTheGainingSiteIsOverItsLimit(t *testing.T) {
+func TestMoveIsSuspendedWhileTheReceivingSiteIsOverloaded(t *testing.T) {
 	c := qt.New(t)
 	in := input(1000, 100)
 	in.Current = Round(in).Plan
-	in.Reached = 1
+	in.AppliedStep = 1
 	in.Orders = []lovageyard.SiteOrder{{Site: "a1", Draining: true}}
 	in.Current = Round(in).Plan
-	in.Left = 0.8
+	in.Remaining = 0.8
 	c.Assert(Round(in).Changed, qt.IsFalse)
 	in.Sites[1].Capacity = 150
 	in.Sites[2].Capacity = 120
@@ -177,40 +177,40 @@
 	in.Sites[2].Capacity = 1000
 	in.Current = Round(in).Plan
 	c.Assert(in.Current.Move.State, qt.Equals, lovageyard.MoveShifting)
-	in.Reached = in.Current.Step
+	in.AppliedStep = in.Current.Step
 	over := Round(in)
 	c.Assert(over.Plan.Move, qt.IsNil)
 	c.Assert(over.Plan.OriginOf("a1", 0), qt.Equals, "")
 }
 
-func TestWorkUnderWayCountsAtBothEnds(t *testing.T) {
+func TestMovingWorkCountsAtBothSites(t *testing.T) {
 	c := qt.New(t)
 	in := input(250, 100)
 	in.Current = Round(in).Plan
-	in.Reached = 1
+	in.AppliedStep = 1
 	in.Orders = []lovageyard.SiteOrder{{Site: "a1", Draining: true}}
 	in.Current = Round(in).Plan
-	// The work of home a1 has not left yet, so that its site has no room for that of b1.
+	// The buckets of home a1 have not moved yet, so its site has no capacity left for those of b1.
 	in.Orders = []lovageyard.SiteOrder{{Site: "b1", Draining: true}}
 	out := Round(in)
 	c.Assert(loads(in, out.Plan)["a1"] <= 100+1e-6, qt.IsTrue, qt.Commentf("%v", loads(in, out.Plan)))
 }
 
-func TestRestoredSiteGetsItsWorkBack(t *testing.T) {
+func TestWorkReturnsToARestoredSite(t *testing.T) {
 	c := qt.New(t)
 	in := input(1000, 100)
 	in.Current = Round(in).Plan
-	in.Reached = 1
+	in.AppliedStep = 1
 	in.Orders = []lovageyard.SiteOrder{{Site: "a1", Draining: true}}
 	in.Current = Round(in).Plan
-	in.Reached = in.Current.Step
+	in.AppliedStep = in.Current.Step
 	in.Orders = nil
-	in.Latencies.SameRegion = gainNeeded
+	in.Latencies.SameRegion = minLatencyGain
 	out := Round(in)
 	c.Assert(shares(out.Plan, "a1"), qt.DeepEquals, map[string]int{"a1": lovageyard.Buckets})
 }
 
-// BenchmarkRound makes rounds at the sizes of today and of the target.
+// BenchmarkRound measures a round at the current size of the system and at the target size.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range []struct {
 		name         string
@@ -231,7 +231,7 @@
 			in.Sites = append(in.Sites, Site{Name: fmt.Sprintf("site-%03d", n), FailureDomain: h.FailureDomain, Region: h.Region, Capacity: 1000, Alive: true})
 		}
 		in.Current = Round(in).Plan
-		in.Reached = 1
+		in.AppliedStep = 1
 		b.Run(size.name+"/at rest", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/soak/accounts.go
+++ b/soak/accounts.go
@@ -68,7 +68,7 @@
 }
 
 // Identified checks the account that a server receives for a request, and that it never receives the key.
-func (c *checker) Identified(server, id, account string, showsKey bool) {
+func (c *checker) AccountSeen(server, id, account string, showsKey bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sent, known := c.accounts[id]
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -115,7 +115,7 @@
 // pendingNotice is the notice in a server's answer to a request that has not ended at the caller yet.
 type pendingNotice struct {
 	server string
-	notice lovageyard.Notice
+	notice lovageyard.Backpressure
 	at     time.Time
 }
 
@@ -150,7 +150,7 @@
 }
 
 // Asked records the notice in a server's answer to a request.
-func (c *checker) Asked(server, id string, n lovageyard.Notice) {
+func (c *checker) BackpressureSent(server, id string, n lovageyard.Backpressure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -152,7 +152,7 @@
 		return o
 	}
 	request.Host = requestHost
-	fake.SetHeaders(request.Header, id, fmt.Sprint(rand.IntN(affinityKeys)), timeout)
+	fake.SetRequestHeaders(request.Header, id, fmt.Sprint(rand.IntN(affinityKeys)), timeout)
 	c.deployment.setKey(request.Header, account)
 	response, err := client.Do(request)
 	o.End = time.Now()
@@ -165,7 +165,7 @@
 	got, err := io.ReadAll(response.Body)
 	o.Status = response.StatusCode
 	o.Complete = err == nil
-	o.Matches = fake.IsOwn(response.Header, got, id)
+	o.Matches = fake.IsCompleteResponse(response.Header, got, id)
 	return o
 }
 
--- a/soak/check.go
+++ b/soak/check.go
@@ -304,7 +304,7 @@
 }
 
 // Ran checks that a request that was refused as not run never runs, and that no charge runs twice.
-func (c *checker) Ran(server, id string) {
+func (c *checker) Started(server, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ran[id]++
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -38,7 +38,7 @@
 			return
 		}
 		request.Host = requestHost
-		fake.SetHeaders(request.Header, id, "deadly", probeTimeout)
+		fake.SetRequestHeaders(request.Header, id, "deadly", probeTimeout)
 		d.setKey(request.Header, permanentAccount(0))
 		if response, err := client.Do(request); err == nil {
 			_, _ = io.Copy(io.Discard, response.Body)
@@ -50,7 +50,7 @@
 
 // makeCrashable makes a server crash on poison requests; a replacement is started each time.
 func (d *deployment) makeCrashable(b *backend) {
-	b.SetDeadly(poisonPrefix, func(path string) {
+	b.SetCrashPrefix(poisonPrefix, func(path string) {
 		d.check.RecordCrash(path)
 		if err := d.crash(b, restartDelay); err != nil {
 			d.recordHarnessError(err)
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -66,11 +66,11 @@
 		i.signal(syscall.SIGTERM)
 		return d.restart(i)
 	case storeDown, storeSilent, storeSlow, storeLosesAnswers, storeDelaysWrites:
-		d.store.SetTrouble(storeTrouble(f.Kind))
+		d.store.SetFaults(storeTrouble(f.Kind))
 		time.Sleep(f.Duration)
-		d.store.SetTrouble(fake.Trouble{})
+		d.store.SetFaults(fake.StoreFaults{})
 	case storeDropsHistory:
-		d.store.Forget()
+		d.store.DropHistory()
 	case cutFromStore:
 		return d.addToxic(d.proxies[i.name], f, `{"name":"fault","type":"timeout","attributes":{"timeout":0}}`)
 	case delayServer:
@@ -142,31 +142,31 @@
 	return err
 }
 
-func storeTrouble(k kind) fake.Trouble {
+func storeTrouble(k kind) fake.StoreFaults {
 	switch k {
 	case storeDown:
-		return fake.Trouble{Status: http.StatusServiceUnavailable}
+		return fake.StoreFaults{Status: http.StatusServiceUnavailable}
 	case storeSilent:
-		return fake.Trouble{Silent: true}
+		return fake.StoreFaults{Hang: true}
 	case storeSlow:
-		return fake.Trouble{Delay: 250 * time.Millisecond}
+		return fake.StoreFaults{Delay: 250 * time.Millisecond}
 	case storeLosesAnswers:
-		return fake.Trouble{LoseWrites: true}
+		return fake.StoreFaults{DropWriteResponses: true}
 	}
-	return fake.Trouble{Late: time.Second}
+	return fake.StoreFaults{WriteDelay: time.Second}
 }
 
 func serverFaults(k kind) fake.Faults {
 	const share = 0.3
 	switch k {
 	case truncateAnswers:
-		return fake.Faults{Spoil: share}
+		return fake.Faults{Truncate: share}
 	case loseAnswers:
-		return fake.Faults{Lose: share}
+		return fake.Faults{DropConnection: share}
 	case duplicateAnswers:
-		return fake.Faults{Extra: share}
+		return fake.Faults{ExtraResponse: share}
 	case shedRequests:
-		return fake.Faults{Shed: share}
+		return fake.Faults{Reject: share}
 	}
 	return fake.Faults{Fail: share}
 }
@@ -244,7 +244,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	restarted := b.BackendServer
-	restarted.Life = time.Now().UnixMilli()
+	restarted.Incarnation = time.Now().UnixMilli()
 	restarted.ColdFor = lovageyard.Duration(coldFor)
 	server, err := fake.StartServer(restarted, serverWork, d.check)
 	if err != nil {
--- a/soak/yard.go
+++ b/soak/yard.go
@@ -140,7 +140,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version += 2 + d.version%3
-	parts := []lovageyard.Part{{Service: service, Weight: 1}}
+	parts := []lovageyard.ServiceWeight{{Service: service, Weight: 1}}
 	route := func(name, prefix string, idempotent bool) lovageyard.Route {
 		return lovageyard.Route{
 			Name: name, Host: requestHost, Prefix: prefix, Idempotent: idempotent, Timeout: 2 * time.Second,
@@ -180,7 +180,7 @@
 	}
 	if d.serverCount%2 == 0 {
 		// The other servers act as older programs, which don't report their incarnation.
-		described.Life = time.Now().UnixMilli()
+		described.Incarnation = time.Now().UnixMilli()
 	}
 	if len(d.instances) > 0 {
 		// An instance that starts now can learn only from the server's entry that it is cold.
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -167,7 +167,7 @@
 // charge.Skew for the difference of the clocks.
 func isExpired(r *http.Request) bool {
 	ms, err := strconv.ParseInt(r.Header.Get(lovageyard.SendBeforeHeader), 10, 64)
-	return err == nil && time.Now().After(time.UnixMilli(ms).Add(charge.Skew))
+	return err == nil && time.Now().After(time.UnixMilli(ms).Add(charge.MaxClockSkew))
 }
 
 func (s *backendServer) currentFaults() serverFaults {
