--- a/catalog/life_test.go
+++ b/catalog/life_test.go
@@ -13,9 +13,9 @@
 )
 
 // incarnationRow returns the entry of one incarnation of a server.
-func incarnationRow(c *qt.C, name string, version, life int64, state lovageyard.InstanceState) lovageyard.Row {
+func incarnationRow(c *qt.C, name string, version, incarnation int64, state lovageyard.InstanceState) lovageyard.Row {
 	server := newServer(name, state)
-	server.Incarnation = life
+	server.Incarnation = incarnation
 	return row(c, lovageyard.TableServers, name, version, server)
 }
 
@@ -142,8 +142,8 @@
 			case 1:
 				history = append(history, undecodableRow(key, version))
 			default:
-				life := int64(rapid.IntRange(1, 3).Draw(t, "life"))
-				history = append(history, incarnationRow(c, key, version, life, lovageyard.StateLive))
+				incarnation := int64(rapid.IntRange(1, 3).Draw(t, "life"))
+				history = append(history, incarnationRow(c, key, version, incarnation, lovageyard.StateLive))
 			}
 		}
 		s := catalog.NewState(jsonDecoder{})
--- a/fleet/confirm.go
+++ b/fleet/confirm.go
@@ -37,13 +37,14 @@
 	return c.settings.MaxConfirmationAge > 0 && !c.View().Accounts.IsEmpty()
 }
 
-// behindFraction is the fraction of MaxConfirmationAge above which look-ups prefer other instances, so that
+// staleFraction is the fraction of MaxConfirmationAge above which look-ups prefer other instances, so that
 // callers have switched to them before requests are refused.
-const behindFraction = 0.6
+const staleFraction = 0.6
 
-// isBehind reports whether this instance may lack the newest configuration.
-func (c *Control) isBehind() bool {
-	return c.needsConfirmation() && float64(c.ConfirmationAge()) > behindFraction*float64(c.settings.MaxConfirmationAge)
+// hasStaleConfiguration reports whether the last confirmation of the configuration is too old, so that a newer
+// configuration may exist.
+func (c *Control) hasStaleConfiguration() bool {
+	return c.needsConfirmation() && float64(c.ConfirmationAge()) > staleFraction*float64(c.settings.MaxConfirmationAge)
 }
 
 // recordRead records an answer of the platform whose rows have been applied.
--- a/fleet/confirm_test.go
+++ b/fleet/confirm_test.go
@@ -70,14 +70,14 @@
 		g.until("an old confirmation", func() bool { return control.ConfirmationAge() > time.Second })
 	}
 	g.store.SetFaults(fake.StoreFaults{})
-	back := time.Now()
+	recovered := time.Now()
 	for _, control := range []*fleet.Control{first, second} {
-		g.untilConfirmedSince(control, back)
+		g.untilConfirmedSince(control, recovered)
 	}
 }
 
 // An instance that can't confirm its configuration reports that to its peers.
-func TestInstanceReportsThatItMayBeBehind(t *testing.T) {
+func TestInstanceReportsAStaleConfiguration(t *testing.T) {
 	g := newGroup(t)
 	g.putAccounts(2)
 	first := g.startConfirming("entry-0", g.address)
@@ -89,7 +89,7 @@
 	}())
 	defer g.stop("entry-0")
 	defer g.stop("entry-1")
-	isBehind := func(name string) bool {
+	isStale := func(name string) bool {
 		for _, m := range first.View().Live {
 			if m.Name == name {
 				return m.Stale
@@ -97,8 +97,8 @@
 		}
 		return false
 	}
-	g.until("entry-1 is behind", func() bool { return isBehind("entry-1") })
-	g.c.Assert(isBehind("entry-0"), qt.IsFalse)
+	g.until("entry-1 is stale", func() bool { return isStale("entry-1") })
+	g.c.Assert(isStale("entry-0"), qt.IsFalse)
 }
 
 // Rows that an instance receives from a peer when it starts do not count as confirmed.
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -239,8 +239,8 @@
 // heartbeat increments this instance's heartbeat and updates its description of itself.
 func (c *Control) heartbeat(now time.Time) {
 	c.self.Heartbeat++
-	if behind := c.isBehind(); behind != c.self.Stale {
-		c.self.Stale = behind
+	if stale := c.hasStaleConfiguration(); stale != c.self.Stale {
+		c.self.Stale = stale
 		c.dirty = true
 	}
 	c.self.Version = c.state.Cursor(lovageyard.TableOrders)
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -101,8 +101,8 @@
 
 // hasHealthyRelay reports whether a healthy relay is followed.
 func (c *Control) hasHealthyRelay() bool {
-	for _, f := range c.relays {
-		if f.healthy {
+	for _, r := range c.relays {
+		if r.healthy {
 			return true
 		}
 	}
@@ -136,14 +136,14 @@
 }
 
 func (m relayResult) Apply(c *Control) {
-	f := c.relays[m.address]
-	if f == nil {
+	r := c.relays[m.address]
+	if r == nil {
 		return
 	}
-	before := f.healthy
-	f.healthy = m.err == nil && !m.reply.GetStale()
-	if before != f.healthy {
-		c.settings.Logger.WithField("relay", m.address).WithField("sound", f.healthy).Info("relay health changed")
+	before := r.healthy
+	r.healthy = m.err == nil && !m.reply.GetStale()
+	if before != r.healthy {
+		c.settings.Logger.WithField("relay", m.address).WithField("sound", r.healthy).Info("relay health changed")
 	}
 	if m.err != nil {
 		c.recordPeerFailure(m.address, m.err)
@@ -155,7 +155,7 @@
 		}
 		c.recordConfirmation(m.reply.GetConfirmation(), m.requestedAt)
 	}
-	if f.healthy {
+	if r.healthy {
 		for _, table := range lovageyard.FollowedTables() {
 			c.recordFeedSuccess(table, c.settings.Timer.Now())
 		}
@@ -169,7 +169,7 @@
 // waiter is a peer's pending call that waits for rows.
 type waiter struct {
 	shareCall
-	until time.Time
+	deadline time.Time
 	// readCount is confirmations.readCount when the call was received.
 	readCount int
 }
@@ -181,7 +181,7 @@
 	for _, w := range c.waiters {
 		changes := c.changesFor(w.request)
 		confirmed := w.request.GetConfirm() && c.confirmations.readCount > w.readCount
-		if len(changes) == 0 && now.Before(w.until) && !c.isStale() && !confirmed {
+		if len(changes) == 0 && now.Before(w.deadline) && !c.isPlatformUnavailable() && !confirmed {
 			kept = append(kept, w)
 			continue
 		}
@@ -190,8 +190,9 @@
 	c.waiters = kept
 }
 
-// isStale reports whether this instance lacks a table or can't read the platform.
-func (c *Control) isStale() bool {
+// isPlatformUnavailable reports whether this instance currently can't read a table of the platform, or has
+// not read one yet.
+func (c *Control) isPlatformUnavailable() bool {
 	return len(c.failingSince) > 0 || !c.hasAllTables()
 }
 
@@ -199,7 +200,7 @@
 	reply := &wire.ShareReply{
 		From:         peer.FromMember(c.self),
 		Changes:      changes,
-		Stale:        c.isStale() || !c.watchesPlatform.Load(),
+		Stale:        c.isPlatformUnavailable() || !c.watchesPlatform.Load(),
 		Confirmation: c.confirmation(m.receivedAt),
 	}
 	if !m.request.GetConfirm() || len(changes) > 0 {
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -43,9 +43,9 @@
 // gossip exchanges with a few random peers, some of them in the own region.
 func (c *Control) gossip() {
 	partners := c.partners()
-	near := slices.DeleteFunc(slices.Clone(partners), func(p partner) bool { return p.region != c.self.Region })
+	sameRegion := slices.DeleteFunc(slices.Clone(partners), func(p partner) bool { return p.region != c.self.Region })
 	c.exchangeDigests(partners[:min(globalFanOut, len(partners))])
-	c.exchangeWithAll(near[:min(regionFanOut, len(near))])
+	c.exchangeWithAll(sameRegion[:min(regionFanOut, len(sameRegion))])
 }
 
 // exchangeDigests exchanges with peers and adds the digest of the crash reports.
@@ -358,9 +358,9 @@
 	c.observe(m.request.GetFrom(), m.request.GetPulses(), now)
 	c.applyCrashes(m.request.GetCrashes(), m.request.GetClearances())
 	changes := c.changesFor(m.request)
-	if m.request.GetWaitMs() > 0 && len(changes) == 0 && !c.isStale() {
-		until := now.Add(time.Duration(m.request.GetWaitMs()) * time.Millisecond)
-		c.waiters = append(c.waiters, waiter{shareCall: m, until: until, readCount: c.confirmations.readCount})
+	if m.request.GetWaitMs() > 0 && len(changes) == 0 && !c.isPlatformUnavailable() {
+		deadline := now.Add(time.Duration(m.request.GetWaitMs()) * time.Millisecond)
+		c.waiters = append(c.waiters, waiter{shareCall: m, deadline: deadline, readCount: c.confirmations.readCount})
 		return
 	}
 	reply := c.newReply(m, changes)
