--- a/link/conn.go
+++ b/link/conn.go
@@ -14,34 +14,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sizes of a connection's buffers; most requests and answers are below 2 KiB.
+// Sizes of a connection's buffers; most requests and responses are below 2 KiB.
 const (
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 4 << 10
 )
 
-// past is a deadline that ends reads and writes at once.
-var past = time.Unix(1, 0)
+// pastTime is a deadline that makes pending reads and writes fail immediately.
+var pastTime = time.Unix(1, 0)
 
 // conn is one connection to a backend server; it carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// writes counts the writes that were begun, whatever became of them.
+	// writes counts the writes that were started, successful or not.
 	writes atomic.Int64
-	// idleSince is when the last answer ended, and idleFor how long it may be reused after.
+	// idleSince is when the last response ended, and maxIdle how long after that the connection may
+	// be reused.
 	idleSince time.Time
-	idleFor   time.Duration
+	maxIdle   time.Duration
 }
 
-// Write counts the write before any byte can leave.
+// Write counts the write before any byte can be sent.
 func (c *conn) Write(b []byte) (int, error) {
 	c.writes.Add(1)
 	return c.Conn.Write(b)
 }
 
-// dial opens a connection that notices within userTimeout that the other side is silent.
+// dial opens a connection that fails within userTimeout if the server does not acknowledge data.
 func dial(ctx context.Context, address string, timeout time.Duration) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout: timeout,
@@ -57,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, idleFor: defaultIdle}
+	c := &conn{Conn: raw, maxIdle: defaultMaxIdle}
 	c.reader = bufio.NewReaderSize(raw, readBufferBytes)
 	c.writer = bufio.NewWriterSize(c, writeBufferBytes)
 	return c, nil
@@ -74,8 +75,8 @@
 	return failure
 }
 
-// isQuiet says whether an idle connection is still open and has no stray bytes.
-func (c *conn) isQuiet() bool {
+// isIdle reports whether an idle connection is still open and has no unexpected bytes to read.
+func (c *conn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -97,8 +98,8 @@
 	return err == nil && quiet
 }
 
-// keep notes how long the connection may stay idle, by what the answer said of it.
-func (c *conn) keep(h http.Header, now time.Time) {
+// markIdle records the start of the idle time, and its limit if the response headers contain one.
+func (c *conn) markIdle(h http.Header, now time.Time) {
 	c.idleSince = now
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
@@ -106,12 +107,12 @@
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			c.idleFor = max(0, time.Duration(seconds)*time.Second-idleMargin)
+			c.maxIdle = max(0, time.Duration(seconds)*time.Second-idleMargin)
 		}
 	}
 }
 
-// reusable says whether the connection may carry another request after being idle.
-func (c *conn) reusable(now time.Time, limit time.Duration) bool {
-	return now.Sub(c.idleSince) < min(c.idleFor, limit)
+// isReusable reports whether the connection may carry another request after its idle time.
+func (c *conn) isReusable(now time.Time, limit time.Duration) bool {
+	return now.Sub(c.idleSince) < min(c.maxIdle, limit)
 }
--- a/link/exchange.go
+++ b/link/exchange.go
@@ -13,31 +13,32 @@
 	"lovageyard.example/lovageyard"
 )
 
-// errClosed reports a connection that the server closed before the first byte of an answer.
-var errClosed = errors.New("the connection was closed before an answer")
+// errClosedBeforeResponse reports a connection that the server closed before the first byte of a
+// response.
+var errClosedBeforeResponse = errors.New("the connection was closed before an answer")
 
-// exchange sends the request on a connection and reads the whole answer.
-func (l *Transport) exchange(ctx context.Context, c *conn, r Request) (*Response, error) {
+// roundTrip sends the request on a connection and reads the whole response.
+func (t *Transport) roundTrip(ctx context.Context, c *conn, r Request) (*Response, error) {
 	before := c.writes.Load()
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
-	answer, reusable, err := l.converse(c, r)
-	// Once the function has begun, the deadline may be set at any moment from now on.
-	untouched := stop()
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(pastTime) })
+	response, reusable, err := t.writeAndRead(c, r)
+	// Once the function has started, the deadline may be set at any time from now on.
+	stopped := stop()
 	if err == nil {
-		if reusable && untouched {
-			l.give(c, r.peer(), answer.Header)
+		if reusable && stopped {
+			t.putIdle(c, r.endpoint(), response.Header)
 		} else {
 			c.Close()
 		}
-		return answer, nil
+		return response, nil
 	}
-	return nil, c.giveUp(ctx, before, err)
+	return nil, c.abort(ctx, before, err)
 }
 
-// giveUp closes a connection on which a request failed, and returns the failure; before is the number of
-// writes before the request.
-func (c *conn) giveUp(ctx context.Context, before int64, err error) *lovageyard.RequestError {
-	// Once it is closed, a write that has not begun sends nothing.
+// abort closes a connection on which a request failed, and returns the failure; before is the
+// number of writes before the request.
+func (c *conn) abort(ctx context.Context, before int64, err error) *lovageyard.RequestError {
+	// Once the connection is closed, a write that has not started sends nothing.
 	c.Close()
 	if ctx.Err() != nil {
 		err = ctx.Err()
@@ -46,40 +47,41 @@
 		return lovageyard.NotRun("no byte of the request was sent", err)
 	}
 	failure := lovageyard.MayHaveRun("the backend server did not answer", err)
-	failure.ConnectionLost = isBroken(err)
+	failure.ConnectionLost = isConnClosed(err)
 	return failure
 }
 
-// converse writes the request and reads answers until the one that belongs to it; it
-// says whether the connection may carry another request.
-func (l *Transport) converse(c *conn, r Request) (*Response, bool, error) {
-	request := outgoing(r)
-	sentAt := l.timer.Now()
-	written := startWriting(c, request, len(r.Body))
-	answer, reusable, err := l.readAnswer(c, request, r, sentAt)
+// writeAndRead writes the request and reads the response that belongs to it. It reports whether the
+// connection may carry another request.
+func (t *Transport) writeAndRead(c *conn, r Request) (*Response, bool, error) {
+	request := newHTTPRequest(r)
+	sentAt := t.timer.Now()
+	writeResult := startWrite(c, request, len(r.Body))
+	response, reusable, err := t.readResponse(c, request, r, sentAt)
 	select {
-	case failure := <-written:
+	case failure := <-writeResult:
 		if failure != nil && err != nil {
 			err = errors.Wrap(failure, "send")
 		}
-		return answer, reusable && failure == nil, err
+		return response, reusable && failure == nil, err
 	default:
-		// The server answered before it had read the request; what is left of that must
-		// not stand where the next request would begin.
-		return answer, false, err
+		// The server responded before it had read the request. The rest of the request must not be
+		// sent where the next request would begin.
+		return response, false, err
 	}
 }
 
-// startWriting writes a request and tells how that ended. A long one is written while its
-// answer is read, as a server may answer, or refuse it, before it is in.
-func startWriting(c *conn, request *http.Request, size int) <-chan error {
-	written := make(chan error, 1)
+// startWrite writes a request and sends the result on the returned channel. A long request is
+// written while its response is read, as a server may respond, or refuse the request, before it has
+// read all of it.
+func startWrite(c *conn, request *http.Request, size int) <-chan error {
+	writeResult := make(chan error, 1)
 	if size <= writeBufferBytes {
-		written <- c.send(request)
+		writeResult <- c.send(request)
 	} else {
-		go func() { written <- c.send(request) }()
+		go func() { writeResult <- c.send(request) }()
 	}
-	return written
+	return writeResult
 }
 
 // send writes a whole request.
@@ -90,12 +92,12 @@
 	return c.writer.Flush()
 }
 
-// readAnswer reads answers until the one that belongs to the request.
-func (l *Transport) readAnswer(c *conn, request *http.Request, r Request, sentAt time.Time) (*Response, bool, error) {
-	if err := c.awaitAnswer(); err != nil {
+// readResponse reads responses until the one that belongs to the request.
+func (t *Transport) readResponse(c *conn, request *http.Request, r Request, sentAt time.Time) (*Response, bool, error) {
+	if err := c.awaitResponse(); err != nil {
 		return nil, false, err
 	}
-	for range maxStray {
+	for range maxStrayResponses {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, false, errors.Wrap(err, "answer")
@@ -103,12 +105,12 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		meta := l.codec.Answer(response)
+		meta := t.codec.Answer(response)
 		isOther := meta.ID != "" && meta.ID != r.ID
 		if !isOther {
-			l.hear(r.peer(), meta, sentAt)
+			t.notifyObserver(r.endpoint(), meta, sentAt)
 		}
-		answer, err := whole(response, meta)
+		complete, err := readBody(response, meta)
 		if err != nil {
 			return nil, false, err
 		}
@@ -116,34 +118,34 @@
 			continue
 		}
 		framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-		return answer, framed && !response.Close && c.reader.Buffered() == 0, nil
+		return complete, framed && !response.Close && c.reader.Buffered() == 0, nil
 	}
-	return nil, false, errors.New("answer: only answers to other requests came")
+	return nil, false, errors.New("answer: only responses to other requests were received")
 }
 
-// awaitAnswer waits for the first byte of an answer.
-func (c *conn) awaitAnswer() error {
+// awaitResponse waits for the first byte of a response.
+func (c *conn) awaitResponse() error {
 	_, err := c.reader.Peek(1)
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, io.EOF), errors.Is(err, syscall.ECONNRESET):
-		return errors.Wrap(errClosed, err.Error())
+		return errors.Wrap(errClosedBeforeResponse, err.Error())
 	}
 	return errors.Wrap(err, "answer")
 }
 
-// whole reads an answer to its end; one that breaks off is an error.
-func whole(response *http.Response, meta lovageyard.ResponseMeta) (*Response, error) {
+// readBody reads the rest of a response; an incomplete body is an error.
+func readBody(response *http.Response, meta lovageyard.ResponseMeta) (*Response, error) {
 	defer response.Body.Close()
 	var body bytes.Buffer
-	if n := response.ContentLength; n > 0 && n <= maxGrow {
+	if n := response.ContentLength; n > 0 && n <= maxPreallocBytes {
 		body.Grow(int(n))
 	}
-	if n, err := io.Copy(&body, io.LimitReader(response.Body, maxWhole)); err != nil {
+	if n, err := io.Copy(&body, io.LimitReader(response.Body, maxBodyBytes)); err != nil {
 		return nil, errors.Wrap(err, "the answer broke off")
-	} else if n == maxWhole {
-		return nil, errors.New("the answer is too long to be held")
+	} else if n == maxBodyBytes {
+		return nil, errors.New("the response is too long to be kept in memory")
 	}
 	return &Response{
 		Status: response.StatusCode,
@@ -153,7 +155,7 @@
 	}, nil
 }
 
-func outgoing(r Request) *http.Request {
+func newHTTPRequest(r Request) *http.Request {
 	request := &http.Request{
 		Method: r.Method,
 		URL:    targetURL(r),
--- a/link/header.go
+++ b/link/header.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// hopByHop lists the headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection only.
 var hopByHop = []string{
 	"Connection",
 	"Keep-Alive",
@@ -19,7 +19,8 @@
 	"Upgrade",
 }
 
-// EndToEndHeaders returns a copy of the headers without those that concern one connection.
+// EndToEndHeaders returns a copy of the headers without the hop-by-hop ones, including those named
+// by Connection.
 func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
--- a/link/idle.go
+++ b/link/idle.go
@@ -5,94 +5,96 @@
 	"time"
 )
 
-// take returns an idle connection to a server, or nil.
-func (l *Transport) take(p peer, idempotent bool) *conn {
-	limit := longestIdle
+// takeIdle removes and returns an idle connection to an endpoint, or nil if there is none that may
+// be reused.
+func (t *Transport) takeIdle(p endpoint, idempotent bool) *conn {
+	limit := maxIdleTime
 	if !idempotent {
-		limit = unsafeIdle
+		limit = nonIdempotentMaxIdle
 	}
-	now := l.timer.Now()
+	now := t.timer.Now()
 	for {
-		c := l.pop(p)
+		c := t.popIdle(p)
 		if c == nil {
 			return nil
 		}
-		if c.reusable(now, limit) && c.isQuiet() {
+		if c.isReusable(now, limit) && c.isIdle() {
 			return c
 		}
 		c.Close()
 	}
 }
 
-func (l *Transport) pop(p peer) *conn {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	list := l.idle[p]
+func (t *Transport) popIdle(p endpoint) *conn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	list := t.idle[p]
 	if len(list) == 0 {
 		return nil
 	}
-	// The one used last has been idle for the shortest time.
+	// The connection used last has been idle for the shortest time.
 	c := list[len(list)-1]
-	l.idle[p] = list[:len(list)-1]
+	t.idle[p] = list[:len(list)-1]
 	return c
 }
 
-// give keeps a connection whose answer has ended for reuse.
-func (l *Transport) give(c *conn, p peer, header http.Header) {
-	c.keep(header, l.timer.Now())
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+// putIdle keeps a connection for reuse after its response has ended.
+func (t *Transport) putIdle(c *conn, p endpoint, header http.Header) {
+	c.markIdle(header, t.timer.Now())
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed {
 		c.Close()
 		return
 	}
-	l.idle[p] = append(l.idle[p], c)
+	t.idle[p] = append(t.idle[p], c)
 }
 
-// Forget closes the idle connections to a server.
-func (l *Transport) Forget(server string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for p, list := range l.idle {
+// Forget closes the idle connections to a server, of all its incarnations and addresses.
+func (t *Transport) Forget(server string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for p, list := range t.idle {
 		if p.server != server {
 			continue
 		}
 		for _, c := range list {
 			c.Close()
 		}
-		delete(l.idle, p)
+		delete(t.idle, p)
 	}
 }
 
-// CloseExpired closes connections that have been idle for too long to be reused.
-func (l *Transport) CloseExpired(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for p, list := range l.idle {
+// CloseExpired closes the connections that have been idle for too long to be reused. It should be
+// called at intervals.
+func (t *Transport) CloseExpired(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for p, list := range t.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if c.reusable(now, longestIdle) {
+			if c.isReusable(now, maxIdleTime) {
 				kept = append(kept, c)
 				continue
 			}
 			c.Close()
 		}
-		l.idle[p] = kept
+		t.idle[p] = kept
 		if len(kept) == 0 {
-			delete(l.idle, p)
+			delete(t.idle, p)
 		}
 	}
 }
 
-// Close closes the idle connections; those in use close when their answer ends.
-func (l *Transport) Close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.closed = true
-	for _, list := range l.idle {
+// Close closes the idle connections; those in use are closed when their response ends.
+func (t *Transport) Close() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closed = true
+	for _, list := range t.idle {
 		for _, c := range list {
 			c.Close()
 		}
 	}
-	clear(l.idle)
+	clear(t.idle)
 }
--- a/link/link.go
+++ b/link/link.go
@@ -11,86 +11,91 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Bounds of connections.
+// Limits of connections and responses.
 const (
-	// dialTimeout is above a round trip between regions on a link whose queue is long; 350 ms
-	// was tried and changed nothing that shows.
+	// dialTimeout is longer than a round trip between regions on a link with a long queue; a
+	// timeout of 350 ms had no measurable effect.
 	dialTimeout = 700 * time.Millisecond
-	// userTimeout is how long sent bytes may go without a word from the other side; it
-	// covers a few retransmissions on a link that loses packets.
+	// userTimeout is how long sent data may remain unacknowledged. It covers a few retransmissions
+	// on a link that loses packets.
 	userTimeout = 900 * time.Millisecond
-	// Keep-alive probes find peers that fell silent while a request is at work.
+	// TCP keep-alive detects servers that become unreachable while a request is running.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// defaultIdle holds for servers that do not say how long they keep a connection.
-	defaultIdle = 4 * time.Second
-	// idleMargin keeps reuse clear of the moment at which a server closes.
+	// defaultMaxIdle applies to servers that do not announce how long they keep a connection.
+	defaultMaxIdle = 4 * time.Second
+	// idleMargin is subtracted from the announced time, so that a connection is not reused just as
+	// the server closes it.
 	idleMargin = 1500 * time.Millisecond
-	// longestIdle bounds reuse whatever a server says.
-	longestIdle = 20 * time.Second
-	// unsafeIdle bounds reuse for requests that can't be repeated: a connection that was
-	// used a moment ago has hardly been closed since.
-	unsafeIdle = 4 * time.Second
-	// maxStray is how many answers that belong to other requests are skipped.
-	maxStray = 3
-	// maxWhole bounds an answer, which is read whole before it is passed on.
-	maxWhole = 32 << 20
-	// maxGrow bounds the memory that is set aside on a server's word.
-	maxGrow = 1 << 20
+	// maxIdleTime limits the idle time of any connection, whatever the server announces.
+	maxIdleTime = 20 * time.Second
+	// nonIdempotentMaxIdle limits the idle time of connections for requests that can't be retried:
+	// a connection that was used recently has hardly been closed since.
+	nonIdempotentMaxIdle = 4 * time.Second
+	// maxStrayResponses is how many responses are read in search of the one that belongs to a
+	// request; the others are skipped.
+	maxStrayResponses = 3
+	// maxBodyBytes limits the body of a response that is read into memory.
+	maxBodyBytes = 32 << 20
+	// maxPreallocBytes limits the memory that is allocated in advance according to Content-Length.
+	maxPreallocBytes = 1 << 20
 )
 
-// Codec translates the headers of the wire.
+// Codec extracts the metadata of responses, which depends on the servers' platform.
 type Codec interface {
 	Answer(r *http.Response) lovageyard.ResponseMeta
 }
 
-// Observer is told what servers ask for in their answers.
+// Observer is notified of the backpressure that servers request in their responses.
 type Observer interface {
-	// Observe takes in the notice of an answer, as soon as its head is there; its request was sent at a time.
+	// Observe is called with the backpressure of each response as soon as its header is read; the
+	// request was sent at sentAt. It may be called concurrently.
 	Observe(server lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time)
 }
 
-// Request is one request as a backend server gets it.
+// Request is one attempt of a request to a backend server.
 type Request struct {
 	Method string
-	// Target is the path and query as the client wrote them.
+	// Target is the path and query as sent by the client.
 	Target     string
 	Host       string
 	Header     http.Header
 	Body       []byte
 	ID         string
 	Idempotent bool
-	// MayResend says whether the budget of repeats has room for sending the request once
-	// more; nil means that it is not sent again.
+	// MayResend reports whether the retry budget allows the request to be sent once more; nil means
+	// that it is not sent again.
 	MayResend func() bool
-	// MaySend says whether the server still takes the request once a connection is open; nil means that it does.
+	// MaySend reports whether the server still accepts the request after a connection was opened;
+	// nil means that it does.
 	MaySend func() bool
-	// Server is the server's name, and Incarnation when this life of it started; see
+	// Server is the server's name, and Incarnation the start time of its incarnation; see
 	// lovageyard.BackendServer.
 	Server        string
 	Incarnation   int64
 	ServerAddress string
 }
 
-// peer returns what the request's connections lead to.
-func (r Request) peer() peer {
-	return peer{server: r.Server, life: r.Incarnation, address: r.ServerAddress}
+// endpoint returns the endpoint that the request is sent to.
+func (r Request) endpoint() endpoint {
+	return endpoint{server: r.Server, incarnation: r.Incarnation, address: r.ServerAddress}
 }
 
-// peer is one life of a server at one address.
-type peer struct {
-	server  string
-	life    int64
-	address string
+// endpoint identifies one incarnation of a server at one address. Connections are not shared
+// between endpoints.
+type endpoint struct {
+	server      string
+	incarnation int64
+	address     string
 }
 
-// peerOf returns what connections to a server lead to.
-func peerOf(s lovageyard.BackendServer) peer {
-	return peer{server: s.Name, life: s.Incarnation, address: s.Address}
+// endpointOf returns the endpoint of a server.
+func endpointOf(s lovageyard.BackendServer) endpoint {
+	return endpoint{server: s.Name, incarnation: s.Incarnation, address: s.Address}
 }
 
-// Response is a whole answer of a backend server.
+// Response is a complete response of a backend server.
 type Response struct {
 	Status int
 	Header http.Header
@@ -100,112 +105,114 @@
 	DialTime time.Duration
 }
 
-// Transport keeps the connections to all backend servers.
+// Transport sends requests and keeps the idle connections to all backend servers. It is safe for
+// concurrent use.
 type Transport struct {
 	codec    Codec
 	timer    lovageyard.Timer
 	observer Observer
 
 	mu     sync.Mutex
-	idle   map[peer][]*conn
+	idle   map[endpoint][]*conn
 	closed bool
 	opened int64
 }
 
-// New returns a Transport without connections; the observer may be nil.
+// New returns a Transport without connections. The observer may be nil.
 func New(c Codec, t lovageyard.Timer, o Observer) *Transport {
-	return &Transport{codec: c, timer: t, observer: o, idle: make(map[peer][]*conn)}
+	return &Transport{codec: c, timer: t, observer: o, idle: make(map[endpoint][]*conn)}
 }
 
-// hear tells the observer what an answer asks for, if it is the server's own and not that of another at its address.
-func (l *Transport) hear(p peer, meta lovageyard.ResponseMeta, sentAt time.Time) {
-	if l.observer == nil || meta.Misdirected {
+// notifyObserver passes the backpressure of a response to the observer, unless the response is from
+// another server at the address.
+func (t *Transport) notifyObserver(p endpoint, meta lovageyard.ResponseMeta, sentAt time.Time) {
+	if t.observer == nil || meta.Misdirected {
 		return
 	}
-	l.observer.Observe(lovageyard.BackendServer{Name: p.server, Incarnation: p.life, Address: p.address}, meta.Backpressure, sentAt)
+	t.observer.Observe(lovageyard.BackendServer{Name: p.server, Incarnation: p.incarnation, Address: p.address}, meta.Backpressure, sentAt)
 }
 
-// Send makes one attempt. The error is a *lovageyard.RequestError. When ctx ends, the
-// connection is closed, by which most servers give up the request.
-func (l *Transport) Send(ctx context.Context, r Request) (*Response, error) {
-	c := l.take(r.peer(), r.Idempotent)
+// Send makes one attempt and reads the whole response. The error is a *lovageyard.RequestError. If
+// ctx is done, the connection is closed, on which most servers abort the request.
+func (t *Transport) Send(ctx context.Context, r Request) (*Response, error) {
+	c := t.takeIdle(r.endpoint(), r.Idempotent)
 	if c == nil {
-		return l.sendFresh(ctx, r)
+		return t.sendOnNewConn(ctx, r)
 	}
-	answer, err := l.exchange(ctx, c, r)
-	if !errors.Is(err, errClosed) || !r.Idempotent || ctx.Err() != nil {
-		return answer, err
+	response, err := t.roundTrip(ctx, c, r)
+	if !errors.Is(err, errClosedBeforeResponse) || !r.Idempotent || ctx.Err() != nil {
+		return response, err
 	}
-	// The server closed the connection, perhaps as the request was on its way, perhaps after
-	// it had run: at the server another send may be a repeat like any other.
+	// The server closed the connection, either as the request was being sent or after it had run.
+	// To the server, another send may be a retry like any other.
 	if r.MayResend == nil || !r.MayResend() {
-		return answer, err
+		return response, err
 	}
-	return l.resend(ctx, r)
+	return t.resend(ctx, r)
 }
 
-// resend sends a request again that a server broke off. Whatever becomes of the second send, the first
-// may have run: a refusal of the second, which is true of itself, is none of the request.
-func (l *Transport) resend(ctx context.Context, r Request) (*Response, error) {
-	answer, err := l.sendFresh(ctx, r)
-	if err == nil && !answer.Meta.NotRun {
-		return answer, nil
+// resend sends a request again after the server closed the connection. Whatever the result of the
+// second send, the first may have run: a refusal applies to the second only.
+func (t *Transport) resend(ctx context.Context, r Request) (*Response, error) {
+	response, err := t.sendOnNewConn(ctx, r)
+	if err == nil && !response.Meta.NotRun {
+		return response, nil
 	}
 	reason := "the backend server closed the connection and did not answer again"
-	ended := isRefused(err)
+	exited := isRefused(err)
 	if err == nil {
 		reason = "the backend server closed the connection and refused the request sent again"
-		ended = answer.Meta.Misdirected
+		exited = response.Meta.Misdirected
 	}
 	failure := lovageyard.MayHaveRun(reason, err)
-	failure.ConnectionLost, failure.ServerExited = true, ended
+	failure.ConnectionLost, failure.ServerExited = true, exited
 	return nil, failure
 }
 
-// HasEnded says whether a server's port refuses connections. A connection that is taken is kept for
-// the next request.
-func (l *Transport) HasEnded(ctx context.Context, server lovageyard.BackendServer) bool {
-	c, err := l.open(ctx, server.Address)
+// HasEnded reports whether a server's port refuses connections. If a connection is accepted, it is
+// kept for the next request.
+func (t *Transport) HasEnded(ctx context.Context, server lovageyard.BackendServer) bool {
+	c, err := t.open(ctx, server.Address)
 	if err != nil {
 		return isRefused(err)
 	}
-	l.give(c, peerOf(server), http.Header{})
+	t.putIdle(c, endpointOf(server), http.Header{})
 	return false
 }
 
 // open opens a connection and counts it.
-func (l *Transport) open(ctx context.Context, address string) (*conn, error) {
+func (t *Transport) open(ctx context.Context, address string) (*conn, error) {
 	c, err := dial(ctx, address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.opened++
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.opened++
 	return c, nil
 }
 
-func (l *Transport) sendFresh(ctx context.Context, r Request) (*Response, error) {
-	began := l.timer.Now()
-	c, err := l.open(ctx, r.ServerAddress)
+func (t *Transport) sendOnNewConn(ctx context.Context, r Request) (*Response, error) {
+	began := t.timer.Now()
+	c, err := t.open(ctx, r.ServerAddress)
 	if err != nil {
-		return nil, notReached(err)
+		return nil, unreachableError(err)
 	}
-	took := l.timer.Now().Sub(began)
+	took := t.timer.Now().Sub(began)
 	if r.MaySend != nil && !r.MaySend() {
-		l.give(c, r.peer(), http.Header{})
-		return nil, withheld()
+		t.putIdle(c, r.endpoint(), http.Header{})
+		return nil, withheldError()
 	}
-	answer, err := l.exchange(ctx, c, r)
-	if answer != nil {
-		answer.DialTime = took
+	response, err := t.roundTrip(ctx, c, r)
+	if response != nil {
+		response.DialTime = took
 	}
-	return answer, err
+	return response, err
 }
 
-// Opened returns the number of connections opened so far.
-func (l *Transport) Opened() int64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.opened
+// Opened returns the number of connections opened since the start.
+func (t *Transport) Opened() int64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.opened
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -20,7 +20,7 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// codec reads the identity of an answer, and refusals.
+// codec reads the ID of a response, and refusals.
 type codec struct{}
 
 func (codec) Answer(r *http.Response) lovageyard.ResponseMeta {
@@ -31,9 +31,9 @@
 	}
 }
 
-// backendServer answers each request with the next of its scripts, raw; an empty script
+// scriptedServer answers each request with the next of its scripts, verbatim; an empty script
 // closes the connection.
-type backendServer struct {
+type scriptedServer struct {
 	listener net.Listener
 	mu       sync.Mutex
 	scripts  []string
@@ -41,10 +41,10 @@
 	conns    int
 }
 
-func newBackendServer(c *qt.C, scripts ...string) *backendServer {
+func newScriptedServer(c *qt.C, scripts ...string) *scriptedServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	b := &backendServer{listener: listener, scripts: scripts}
+	b := &scriptedServer{listener: listener, scripts: scripts}
 	var serving sync.WaitGroup
 	serving.Go(func() {
 		for {
@@ -65,7 +65,7 @@
 	return b
 }
 
-func (b *backendServer) serve(conn net.Conn) {
+func (b *scriptedServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (b *backendServer) seen() ([]string, int) {
+func (b *scriptedServer) received() ([]string, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.requests...), b.conns
@@ -105,13 +105,13 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func newLink(c *qt.C) *link.Transport {
+func newTransport(c *qt.C) *link.Transport {
 	l := link.New(codec{}, timer.Clock{}, nil)
 	c.Cleanup(l.Close)
 	return l
 }
 
-func request(b *backendServer, id string, idempotent bool) link.Request {
+func request(b *scriptedServer, id string, idempotent bool) link.Request {
 	return link.Request{
 		MayResend: func() bool { return true },
 		Method:    http.MethodGet, Target: "/a%2Fb/../c?q=1", Host: "a.example", Header: http.Header{},
@@ -119,17 +119,17 @@
 	}
 }
 
-// send sends with a bound on the wait, so that a failing test ends.
+// send sends a request with a timeout, so that a failing test ends.
 func send(c *qt.C, l *link.Transport, r link.Request) (*link.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	c.Cleanup(cancel)
 	return l.Send(ctx, r)
 }
 
-func TestRequestReachesTheServerUnchangedAndConnectionsAreReused(t *testing.T) {
+func TestRequestIsUnchangedAndConnectionIsReused(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, answer("1", "one"), answer("2", "two"))
-	l := newLink(c)
+	b := newScriptedServer(c, answer("1", "one"), answer("2", "two"))
+	l := newTransport(c)
 	first, err := send(c, l, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(first.Body), qt.Equals, "one")
@@ -138,20 +138,20 @@
 	second, err := send(c, l, r)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(second.Body), qt.Equals, "two")
-	requests, conns := b.seen()
+	requests, conns := b.received()
 	c.Assert(requests, qt.DeepEquals, []string{"GET /a%2Fb/../c?q=1 ", "POST /a%2Fb/../c?q=1 body"})
 	c.Assert(conns, qt.Equals, 1)
 }
 
-func TestUnreachableServerHasNotRunTheRequest(t *testing.T) {
+func TestUnreachableServerIsNotRun(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c)
+	b := newScriptedServer(c)
 	b.listener.Close()
-	_, err := send(c, newLink(c), request(b, "1", false))
+	_, err := send(c, newTransport(c), request(b, "1", false))
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
 }
 
-func TestLostAnswerMayHaveRun(t *testing.T) {
+func TestLostResponseMayHaveRun(t *testing.T) {
 	c := qt.New(t)
 	for _, script := range []string{
 		"",
@@ -159,26 +159,26 @@
 		"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\non\r\nCLOSE",
 		"what is this?\r\n\r\nCLOSE",
 	} {
-		b := newBackendServer(c, script)
-		_, err := send(c, newLink(c), request(b, "1", false))
+		b := newScriptedServer(c, script)
+		_, err := send(c, newTransport(c), request(b, "1", false))
 		c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun, qt.Commentf("%q", script))
-		requests, _ := b.seen()
+		requests, _ := b.received()
 		c.Assert(requests, qt.HasLen, 1)
 	}
 }
 
-// A server may close an idle connection just as a request is sent on it. A charge must not
-// be sent again then; a look-up may.
-func TestRequestOnAConnectionThatTheServerCloses(t *testing.T) {
+// A server may close an idle connection just as a request is sent on it. A charge must not be
+// resent then; an idempotent lookup may.
+func TestOnlyIdempotentRequestIsResentAfterClose(t *testing.T) {
 	c := qt.New(t)
 	for _, idempotent := range []bool{true, false} {
-		// The server reads the second request and closes without an answer.
-		b := newBackendServer(c, answer("1", "one"), "", answer("2", "two"))
-		l := newLink(c)
+		// The server reads the second request and closes the connection without a response.
+		b := newScriptedServer(c, answer("1", "one"), "", answer("2", "two"))
+		l := newTransport(c)
 		_, err := send(c, l, request(b, "1", idempotent))
 		c.Assert(err, qt.IsNil)
 		_, err = send(c, l, request(b, "2", idempotent))
-		requests, _ := b.seen()
+		requests, _ := b.received()
 		if idempotent {
 			c.Assert(err, qt.IsNil)
 			c.Assert(requests, qt.HasLen, 3)
@@ -189,32 +189,32 @@
 	}
 }
 
-// A send on a fresh connection is a repeat at the server, and needs room in the budget.
-func TestRequestIsNotResentWithoutRoomInTheBudget(t *testing.T) {
+// A resend on a new connection is a retry to the server, so it must be allowed by the retry budget.
+func TestResendNeedsRetryBudget(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, answer("1", "one"), "", answer("2", "two"))
-	l := newLink(c)
+	b := newScriptedServer(c, answer("1", "one"), "", answer("2", "two"))
+	l := newTransport(c)
 	_, err := send(c, l, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	again := request(b, "2", true)
-	asked := 0
+	calls := 0
 	again.MayResend = func() bool {
-		asked++
+		calls++
 		return false
 	}
 	_, err = send(c, l, again)
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
-	c.Assert(asked, qt.Equals, 1)
-	requests, _ := b.seen()
+	c.Assert(calls, qt.Equals, 1)
+	requests, _ := b.received()
 	c.Assert(requests, qt.HasLen, 2)
 }
 
-// The request that was on its way as the server closed may have run, also if the server
-// can't be reached any more.
-func TestSecondSendThatFailsLeavesTheFirstInDoubt(t *testing.T) {
+// A request that was being sent as the server closed the connection may have run, even if the
+// server can't be reached afterwards.
+func TestFailedResendMayHaveRun(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, answer("1", "one"), "")
-	l := newLink(c)
+	b := newScriptedServer(c, answer("1", "one"), "")
+	l := newTransport(c)
 	_, err := send(c, l, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	b.listener.Close()
@@ -222,14 +222,14 @@
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
 }
 
-// A server takes a request and ends; the server that has its address by then refuses the second send, truly
-// as not run. What became of the first is not known, so that the caller must not be told that its request
-// has not run.
-func TestRefusedSecondSendLeavesTheFirstInDoubt(t *testing.T) {
+// A server crashes after it has read a request, and another server at its address refuses the
+// resend as not run. The result of the first send is unknown, so the caller must not be told that
+// the request has not run.
+func TestRefusedResendMayHaveRun(t *testing.T) {
 	c := qt.New(t)
 	for _, status := range []string{"421 Misdirected Request", "503 Service Unavailable"} {
-		b := newBackendServer(c, answer("1", "one"), "", "HTTP/1.1 "+status+"\r\nContent-Length: 0\r\n\r\n")
-		l := newLink(c)
+		b := newScriptedServer(c, answer("1", "one"), "", "HTTP/1.1 "+status+"\r\nContent-Length: 0\r\n\r\n")
+		l := newTransport(c)
 		_, err := send(c, l, request(b, "1", true))
 		c.Assert(err, qt.IsNil)
 		_, err = send(c, l, request(b, "2", true))
@@ -240,25 +240,25 @@
 	}
 }
 
-func TestAnswersToOtherRequestsAreSkipped(t *testing.T) {
+func TestResponsesToOtherRequestsAreSkipped(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, answer("0", "stray")+answer("1", "one"))
-	got, err := send(c, newLink(c), request(b, "1", true))
+	b := newScriptedServer(c, answer("0", "stray")+answer("1", "one"))
+	got, err := send(c, newTransport(c), request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(got.Body), qt.Equals, "one")
 }
 
-func TestInterimAnswersAreSkipped(t *testing.T) {
+func TestInterimResponsesAreSkipped(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+answer("1", "one"))
-	got, err := send(c, newLink(c), request(b, "1", true))
+	b := newScriptedServer(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+answer("1", "one"))
+	got, err := send(c, newTransport(c), request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.Status, qt.Equals, http.StatusOK)
 }
 
-// A server may refuse a long request before it has read it; its answer counts, and the
-// connection carries nothing else.
-func TestAnswerBeforeALongRequestIsIn(t *testing.T) {
+// A server may refuse a long request before it has read it. Its response must be returned, and the
+// connection must not be reused.
+func TestResponseBeforeEndOfRequest(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -279,30 +279,30 @@
 		listener.Close()
 		<-done
 	})
-	r := request(&backendServer{listener: listener}, "1", false)
+	r := request(&scriptedServer{listener: listener}, "1", false)
 	r.Method, r.Body = http.MethodPost, make([]byte, 8<<20)
-	got, err := send(c, newLink(c), r)
+	got, err := send(c, newTransport(c), r)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(got.Body), qt.Equals, "early")
 }
 
 func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, answer("1", "one")+"stray", answer("2", "two"))
-	l := newLink(c)
+	b := newScriptedServer(c, answer("1", "one")+"stray", answer("2", "two"))
+	l := newTransport(c)
 	_, err := send(c, l, request(b, "1", false))
 	c.Assert(err, qt.IsNil)
 	got, err := send(c, l, request(b, "2", false))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(got.Body), qt.Equals, "two")
-	_, conns := b.seen()
+	_, conns := b.received()
 	c.Assert(conns, qt.Equals, 2)
 }
 
-func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nallCLOSE")
-	got, err := send(c, newLink(c), request(b, "1", false))
+	b := newScriptedServer(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nallCLOSE")
+	got, err := send(c, newTransport(c), request(b, "1", false))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(got.Body), qt.Equals, "all")
 }
@@ -311,18 +311,18 @@
 	c := qt.New(t)
 	for _, header := range []string{"Connection: close", "Keep-Alive: timeout=1"} {
 		first := "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 0\r\n" + header + "\r\n\r\n"
-		b := newBackendServer(c, first, answer("2", "two"))
-		l := newLink(c)
+		b := newScriptedServer(c, first, answer("2", "two"))
+		l := newTransport(c)
 		_, err := send(c, l, request(b, "1", true))
 		c.Assert(err, qt.IsNil)
 		_, err = send(c, l, request(b, "2", true))
 		c.Assert(err, qt.IsNil)
-		_, conns := b.seen()
+		_, conns := b.received()
 		c.Assert(conns, qt.Equals, 2, qt.Commentf("%s", header))
 	}
 }
 
-func TestEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestCancelledContextClosesConnection(t *testing.T) {
 	c := qt.New(t)
 	closed := make(chan struct{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -341,7 +341,7 @@
 			return
 		}
 		close(received)
-		// Reading ends when the other side closes.
+		// The read returns when the client closes the connection.
 		_, _ = reader.ReadByte()
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -349,8 +349,8 @@
 		<-received
 		cancel()
 	}()
-	r := request(&backendServer{listener: listener}, "1", true)
-	_, err = newLink(c).Send(ctx, r)
+	r := request(&scriptedServer{listener: listener}, "1", true)
+	_, err = newTransport(c).Send(ctx, r)
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
 	select {
 	case <-closed:
@@ -359,13 +359,13 @@
 	}
 }
 
-// A server that has started again under its name, perhaps at another address, does not know the
-// connections of the life before; another server may answer at their other end.
-func TestConnectionsEndWithTheLifeOfTheirServer(t *testing.T) {
+// A server that has restarted, possibly at another address, must not get requests on connections to
+// its previous incarnation: another server may accept them.
+func TestConnectionsAreNotReusedAcrossIncarnations(t *testing.T) {
 	c := qt.New(t)
-	before := newBackendServer(c, answer("1", "one"), answer("2", "the life before"))
-	after := newBackendServer(c, answer("2", "two"))
-	l := newLink(c)
+	before := newScriptedServer(c, answer("1", "one"), answer("2", "the life before"))
+	after := newScriptedServer(c, answer("2", "two"))
+	l := newTransport(c)
 	r := request(before, "1", true)
 	r.Incarnation = 100
 	_, err := send(c, l, r)
@@ -375,30 +375,30 @@
 	second, err := send(c, l, r)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(second.Body), qt.Equals, "two")
-	requests, _ := before.seen()
+	requests, _ := before.received()
 	c.Assert(requests, qt.HasLen, 1)
 }
 
-// failureOf returns an attempt's failure.
+// failureOf returns the RequestError of an attempt.
 func failureOf(c *qt.C, err error) *lovageyard.RequestError {
 	var failure *lovageyard.RequestError
 	c.Assert(errors.As(err, &failure), qt.IsTrue)
 	return failure
 }
 
-// A server that broke off the request is told from one that could not be reached, and one that has
-// ended from one that goes on.
-func TestFailureTellsWhetherTheServerBrokeOffAndEnded(t *testing.T) {
+// The failure must distinguish a closed connection from an unreachable server, and a server that
+// has exited from one that is still listening.
+func TestFailureReportsClosedConnectionAndExitedServer(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, "", answer("2", "two"), "")
-	l := newLink(c)
+	b := newScriptedServer(c, "", answer("2", "two"), "")
+	l := newTransport(c)
 	_, err := send(c, l, request(b, "1", true))
 	c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
 	c.Assert(failureOf(c, err).ServerExited, qt.IsFalse)
 	_, err = send(c, l, request(b, "2", true))
 	c.Assert(err, qt.IsNil)
 	b.listener.Close()
-	// The kept connection is closed, and a new one refused.
+	// The idle connection is closed, and a new one refused.
 	_, err = send(c, l, request(b, "3", true))
 	c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
 	c.Assert(failureOf(c, err).ServerExited, qt.IsTrue)
@@ -407,16 +407,16 @@
 	c.Assert(failureOf(c, err).ServerExited, qt.IsTrue)
 }
 
-func TestProbeTellsAServerThatEnded(t *testing.T) {
+func TestHasEndedDetectsExitedServer(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, answer("1", "one"))
-	l := newLink(c)
+	b := newScriptedServer(c, answer("1", "one"))
+	l := newTransport(c)
 	described := lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()}
 	c.Assert(l.HasEnded(context.Background(), described), qt.IsFalse)
-	// The probe's connection carries the next request.
+	// The connection of the probe carries the next request.
 	_, err := send(c, l, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
-	_, conns := b.seen()
+	_, conns := b.received()
 	c.Assert(conns, qt.Equals, 1)
 	b.listener.Close()
 	c.Assert(l.HasEnded(context.Background(), described), qt.IsTrue)
--- a/link/notice_test.go
+++ b/link/notice_test.go
@@ -16,46 +16,47 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// observer collects what servers ask for.
-type observer struct {
+// testObserver collects the backpressure that servers request.
+type testObserver struct {
 	mu      sync.Mutex
 	notices []lovageyard.Backpressure
-	// heard is called with each notice, if it is set.
-	heard func()
+	// onNotice is called after each observation if it is set.
+	onNotice func()
 }
 
-func (o *observer) Observe(_ lovageyard.BackendServer, n lovageyard.Backpressure, _ time.Time) {
+func (o *testObserver) Observe(_ lovageyard.BackendServer, n lovageyard.Backpressure, _ time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.notices = append(o.notices, n)
-	if o.heard != nil {
-		o.heard()
+	if o.onNotice != nil {
+		o.onNotice()
 	}
 }
 
-func (o *observer) all() []lovageyard.Backpressure {
+func (o *testObserver) all() []lovageyard.Backpressure {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]lovageyard.Backpressure(nil), o.notices...)
 }
 
-// limiting reads the answers' status as a limit.
-type limiting struct{ codec }
+// limitCodec interprets the status of a response as a rate limit.
+type limitCodec struct{ codec }
 
-func (l limiting) Answer(r *http.Response) lovageyard.ResponseMeta {
+func (l limitCodec) Answer(r *http.Response) lovageyard.ResponseMeta {
 	meta := l.codec.Answer(r)
 	meta.Backpressure = lovageyard.Backpressure{Limited: true, Limit: float64(r.StatusCode)}
 	return meta
 }
 
-func newObservedLink(c *qt.C, o *observer) *link.Transport {
-	l := link.New(limiting{}, timer.Clock{}, o)
+func newObservedTransport(c *qt.C, o *testObserver) *link.Transport {
+	l := link.New(limitCodec{}, timer.Clock{}, o)
 	c.Cleanup(l.Close)
 	return l
 }
 
-// Only what a server says itself, to a request that it got, is its own word.
-func TestNoticesAreThoseOfTheServerThatWasAsked(t *testing.T) {
+// Only responses of the server that the request was sent to are observed, not those of another
+// server at its address or to another request.
+func TestOnlyResponsesOfRequestedServerAreObserved(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		scripts []string
@@ -69,9 +70,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			o := &observer{}
-			b := newBackendServer(c, test.scripts...)
-			_, _ = send(c, newObservedLink(c, o), request(b, "1", false))
+			o := &testObserver{}
+			b := newScriptedServer(c, test.scripts...)
+			_, _ = send(c, newObservedTransport(c, o), request(b, "1", false))
 			var limits []float64
 			for _, n := range o.all() {
 				limits = append(limits, n.Limit)
@@ -81,35 +82,36 @@
 	}
 }
 
-// What a server asks for is heard with the head of its answer, however long the rest takes.
-func TestNoticeIsHeardBeforeTheBody(t *testing.T) {
+// Backpressure must be observed when the header of a response is read, however long the body takes.
+func TestBackpressureIsObservedBeforeBody(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	o := &observer{heard: cancel}
-	b := newBackendServer(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", answer("2", "never"))
-	_, err := newObservedLink(c, o).Send(ctx, request(b, "1", false))
+	o := &testObserver{onNotice: cancel}
+	b := newScriptedServer(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", answer("2", "never"))
+	_, err := newObservedTransport(c, o).Send(ctx, request(b, "1", false))
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(o.all(), qt.HasLen, 1)
 }
 
-func TestNoticeOfAStreamIsHeard(t *testing.T) {
+func TestBackpressureOfStreamIsObserved(t *testing.T) {
 	c := qt.New(t)
-	o := &observer{}
-	b := newBackendServer(c, answer("", "streamed"))
+	o := &testObserver{}
+	b := newScriptedServer(c, answer("", "streamed"))
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, fmt.Sprint("http://", b.listener.Addr()), nil)
 	c.Assert(err, qt.IsNil)
-	response, err := newObservedLink(c, o).Stream(r, lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()})
+	response, err := newObservedTransport(c, o).Stream(r, lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()})
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.Body.Close(), qt.IsNil)
 	c.Assert(o.all(), qt.HasLen, 1)
 }
 
-// A server that asks for no more while a connection is opened does not get the request; the connection is kept.
-func TestRequestIsWithheldOnceItsServerAsksForNoMore(t *testing.T) {
+// If a server requests a backoff while a connection is opened, the request must not be sent, and
+// the connection must be kept.
+func TestRequestIsWithheldAfterBackoff(t *testing.T) {
 	c := qt.New(t)
-	b := newBackendServer(c, answer("2", "two"))
-	l := newLink(c)
+	b := newScriptedServer(c, answer("2", "two"))
+	l := newTransport(c)
 	r := request(b, "1", true)
 	r.MaySend = func() bool { return false }
 	_, err := send(c, l, r)
@@ -119,7 +121,7 @@
 	c.Assert(failure.Throttled, qt.IsTrue)
 	_, err = send(c, l, request(b, "2", true))
 	c.Assert(err, qt.IsNil)
-	requests, conns := b.seen()
+	requests, conns := b.received()
 	c.Assert(requests, qt.HasLen, 1)
 	c.Assert(conns, qt.Equals, 1)
 }
--- a/link/report.go
+++ b/link/report.go
@@ -12,26 +12,26 @@
 	"lovageyard.example/lovageyard"
 )
 
-// HealthPath is the path at which backend servers tell their load and health.
+// HealthPath is the path at which backend servers report their load and health.
 const HealthPath = "/load"
 
-// Bounds of a question for a server's load.
+// Limits of a load probe.
 const (
-	probeTimeout = time.Second
-	maxReport    = 64 << 10
+	probeTimeout   = time.Second
+	maxReportBytes = 64 << 10
 )
 
-// LoadHeaderCodec reads what servers that speak our own headers say in their answers.
+// LoadHeaderCodec is a Codec that reads only load reports, from the header lovageyard.LoadHeader.
 type LoadHeaderCodec struct{}
 
-// Answer returns what an answer says about itself.
+// Answer returns the load report of a response; it implements Codec.
 func (LoadHeaderCodec) Answer(r *http.Response) lovageyard.ResponseMeta {
 	var meta lovageyard.ResponseMeta
 	meta.Load, meta.Reported = ReportOf(r.Header)
 	return meta
 }
 
-// ReportOf returns the load report that an answer carries, and whether it does.
+// ReportOf returns the load report in the headers of a response, and whether there is a valid one.
 func ReportOf(h http.Header) (lovageyard.LoadReport, bool) {
 	var report lovageyard.LoadReport
 	text := h.Get(lovageyard.LoadHeader)
@@ -41,8 +41,8 @@
 	return report, true
 }
 
-// Probe asks a server for its load.
-func (l *Transport) Probe(ctx context.Context, s lovageyard.BackendServer) (lovageyard.LoadReport, error) {
+// Probe requests a load report from the HealthPath of a server.
+func (t *Transport) Probe(ctx context.Context, s lovageyard.BackendServer) (lovageyard.LoadReport, error) {
 	var report lovageyard.LoadReport
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -50,7 +50,7 @@
 	if err != nil {
 		return report, errors.Wrap(err, "probe")
 	}
-	response, err := l.Stream(request, s)
+	response, err := t.Stream(request, s)
 	if err != nil {
 		return report, errors.Wrap(err, "probe")
 	}
@@ -58,8 +58,8 @@
 	if response.StatusCode != http.StatusOK {
 		return report, errors.Errorf("probe answered %d", response.StatusCode)
 	}
-	// Read to its end, so that the connection is kept.
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxReport))
+	// Read to the end, so that the connection can be reused.
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
 		return report, errors.Wrap(err, "probe")
 	}
--- a/link/stream.go
+++ b/link/stream.go
@@ -12,90 +12,91 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Stream makes one attempt at a server and returns the answer as it comes, for bodies that are longer than
-// an instance holds. The error is a *lovageyard.RequestError. A request without a body that meets a
-// kept connection just as the server closes it is sent once more. The answer's body must be closed.
-func (l *Transport) Stream(r *http.Request, s lovageyard.BackendServer) (*http.Response, error) {
+// Stream makes one attempt at a server and returns the response before its body is read, for bodies
+// that are too long to be kept in memory. The error is a *lovageyard.RequestError. A request
+// without a body is sent once more if the server closes a reused connection. The caller must close
+// the response body.
+func (t *Transport) Stream(r *http.Request, s lovageyard.BackendServer) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.URL.Scheme = "http"
 	r.URL.Host = s.Address
 	replayable := r.Body == nil || r.Body == http.NoBody
-	kept := l.take(peerOf(s), replayable)
+	kept := t.takeIdle(endpointOf(s), replayable)
 	if kept == nil {
-		return l.streamFresh(r, s)
+		return t.streamOnNewConn(r, s)
 	}
-	response, failure := l.streamOn(kept, r, s)
+	response, failure := t.streamOnConn(kept, r, s)
 	if failure == nil {
 		return response, nil
 	}
 	if !failure.ConnectionLost || !replayable || r.Context().Err() != nil {
 		return nil, failure
 	}
-	response, err := l.streamFresh(r, s)
+	response, err := t.streamOnNewConn(r, s)
 	if err != nil {
-		// Whatever became of the second send, the first may have run.
+		// Whatever the result of the second send, the first may have run.
 		return nil, lovageyard.MayHaveRun("the backend server closed the connection and did not answer again", err)
 	}
 	return response, nil
 }
 
-func (l *Transport) streamFresh(r *http.Request, s lovageyard.BackendServer) (*http.Response, error) {
-	c, err := l.open(r.Context(), s.Address)
+func (t *Transport) streamOnNewConn(r *http.Request, s lovageyard.BackendServer) (*http.Response, error) {
+	c, err := t.open(r.Context(), s.Address)
 	if err != nil {
-		return nil, notReached(err)
+		return nil, unreachableError(err)
 	}
-	response, failure := l.streamOn(c, r, s)
+	response, failure := t.streamOnConn(c, r, s)
 	if failure != nil {
 		return nil, failure
 	}
 	return response, nil
 }
 
-// streamOn sends a request on a connection and reads the head of its answer.
-func (l *Transport) streamOn(c *conn, r *http.Request, s lovageyard.BackendServer) (*http.Response, *lovageyard.RequestError) {
+// streamOnConn sends a request on a connection and reads the header of the response.
+func (t *Transport) streamOnConn(c *conn, r *http.Request, s lovageyard.BackendServer) (*http.Response, *lovageyard.RequestError) {
 	ctx := r.Context()
 	before := c.writes.Load()
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
-	sentAt := l.timer.Now()
-	written := startStreaming(c, r)
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(pastTime) })
+	sentAt := t.timer.Now()
+	writeResult := startStreamWrite(c, r)
 	response, err := c.readHead(r)
 	if err != nil {
 		stop()
-		return nil, c.giveUp(ctx, before, err)
+		return nil, c.abort(ctx, before, err)
 	}
-	l.hear(peerOf(s), l.codec.Answer(response), sentAt)
+	t.notifyObserver(endpointOf(s), t.codec.Answer(response), sentAt)
 	body := &streamBody{
-		link: l, conn: c, peer: peerOf(s), response: response, body: response.Body,
-		context: ctx, stop: stop, written: written,
+		transport: t, conn: c, endpoint: endpointOf(s), response: response, body: response.Body,
+		context: ctx, stop: stop, writeResult: writeResult,
 	}
 	response.Body = body
 	if body.body == http.NoBody {
-		body.end(true)
+		body.finish(true)
 	}
 	return response, nil
 }
 
-// startStreaming writes a request and tells how that ended. One with a body is written while its answer
-// is read.
-func startStreaming(c *conn, r *http.Request) <-chan error {
-	written := make(chan error, 1)
+// startStreamWrite writes a request and sends the result on the returned channel. A request with a
+// body is written while the response is read.
+func startStreamWrite(c *conn, r *http.Request) <-chan error {
+	writeResult := make(chan error, 1)
 	if r.Body == nil || r.Body == http.NoBody {
-		written <- c.send(r)
-		return written
+		writeResult <- c.send(r)
+		return writeResult
 	}
 	r.Body = &flushingBody{ReadCloser: r.Body, conn: c}
-	go func() { written <- c.send(r) }()
-	return written
+	go func() { writeResult <- c.send(r) }()
+	return writeResult
 }
 
-// flushingBody sends what is written so far before it waits for more, so that a slow caller's server
-// sees what there is.
+// flushingBody flushes the data written so far before it reads more, so that a slow client's data
+// reaches the server without delay.
 type flushingBody struct {
 	io.ReadCloser
 	conn *conn
 }
 
-// Read reads more of the body.
+// Read reads from the underlying body; it implements io.Reader.
 func (b *flushingBody) Read(p []byte) (int, error) {
 	if err := b.conn.writer.Flush(); err != nil {
 		return 0, err
@@ -103,9 +104,10 @@
 	return b.ReadCloser.Read(p)
 }
 
-// readHead reads the head of the answer to a request, and passes interim ones to the request's trace.
+// readHead reads the header of the final response, and passes interim responses to the trace of the
+// request.
 func (c *conn) readHead(r *http.Request) (*http.Response, error) {
-	if err := c.awaitAnswer(); err != nil {
+	if err := c.awaitResponse(); err != nil {
 		return nil, err
 	}
 	trace := httptrace.ContextClientTrace(r.Context())
@@ -126,67 +128,69 @@
 	}
 }
 
-// streamBody is the body of an answer on its way; its connection is kept once it has ended.
+// streamBody is the body of a streamed response; its connection is kept for reuse after the body
+// has ended.
 type streamBody struct {
-	link     *Transport
-	conn     *conn
-	peer     peer
-	response *http.Response
-	body     io.ReadCloser
-	context  context.Context
-	// stop keeps the end of the context from touching the connection.
-	stop    func() bool
-	written <-chan error
-	// ended says that the connection is this body's no more, and whole that all of it was read.
-	ended bool
-	whole bool
+	transport *Transport
+	conn      *conn
+	endpoint  endpoint
+	response  *http.Response
+	body      io.ReadCloser
+	context   context.Context
+	// stop prevents the end of the context from affecting the connection.
+	stop        func() bool
+	writeResult <-chan error
+	// finished means that the connection no longer belongs to this body, and complete that the body
+	// was read to its end.
+	finished bool
+	complete bool
 }
 
-var errGivenUp = errors.New("the answer was given up")
+var errBodyClosed = errors.New("the response body was closed")
 
-// Read reads more of the body.
+// Read reads from the body; after Close it returns an error.
 func (b *streamBody) Read(p []byte) (int, error) {
-	if b.ended && b.whole {
+	if b.finished && b.complete {
 		return 0, io.EOF
 	}
-	if b.ended {
-		return 0, errGivenUp
+	if b.finished {
+		return 0, errBodyClosed
 	}
 	n, err := b.body.Read(p)
 	switch {
 	case err == io.EOF:
-		b.end(true)
+		b.finish(true)
 	case err != nil && b.context.Err() != nil:
 		err = b.context.Err()
 	}
 	return n, err
 }
 
-// Close gives the answer up if it has not ended.
+// Close closes the connection unless the body was read to its end.
 func (b *streamBody) Close() error {
-	b.end(false)
+	b.finish(false)
 	return nil
 }
 
-// end keeps the connection for the next request, or closes it.
-func (b *streamBody) end(whole bool) {
-	if b.ended {
+// finish keeps the connection for the next request, or closes it.
+func (b *streamBody) finish(complete bool) {
+	if b.finished {
 		return
 	}
-	b.ended, b.whole = true, whole
-	untouched := b.stop()
-	if whole && untouched && b.isReusable() {
-		b.link.give(b.conn, b.peer, b.response.Header)
+	b.finished, b.complete = true, complete
+	stopped := b.stop()
+	if complete && stopped && b.isReusable() {
+		b.transport.putIdle(b.conn, b.endpoint, b.response.Header)
 		return
 	}
 	b.conn.Close()
 }
 
-// isReusable says whether the connection may carry another request: the whole request has been sent,
-// and nothing stands behind the answer.
+// isReusable reports whether the connection may carry another request: the whole request was sent,
+// and no bytes follow the response.
 func (b *streamBody) isReusable() bool {
 	select {
-	case err := <-b.written:
+	case err := <-b.writeResult:
 		if err != nil {
 			return false
 		}
--- a/link/stream_test.go
+++ b/link/stream_test.go
@@ -21,10 +21,10 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// script is what a raw server does with one connection; it returns when it is done.
+// script handles one connection of a raw server and returns when it is done.
 type script func(conn net.Conn)
 
-// rawServer runs the n-th script on the n-th connection, the last one on all further.
+// rawServer runs the n-th script on the n-th connection, and the last script on all further ones.
 func rawServer(t *testing.T, scripts ...script) (server lovageyard.BackendServer, connections *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +63,7 @@
 	_, _ = http.ReadRequest(bufio.NewReader(conn))
 }
 
-func newStream() *link.Transport {
+func newStreamTransport() *link.Transport {
 	return link.New(link.LoadHeaderCodec{}, timer.Clock{}, nil)
 }
 
@@ -71,7 +71,7 @@
 	_, _ = conn.Write([]byte(text))
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const readBody = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func closeAfterRequest(conn net.Conn) { readRequest(conn) }
 
@@ -106,7 +106,7 @@
 			t.Run(test.name+" "+method, func(t *testing.T) {
 				c := qt.New(t)
 				server, connections := rawServer(t, test.script)
-				client := newStream()
+				client := newStreamTransport()
 				defer client.Close()
 				ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 				defer cancel()
@@ -127,7 +127,7 @@
 	return request
 }
 
-// onlyReader keeps the request from knowing how to get its body again.
+// onlyReader hides the body's type, so that net/http can't set GetBody.
 type onlyReader struct {
 	*strings.Reader
 }
@@ -138,7 +138,7 @@
 	c.Assert(err, qt.IsNil)
 	address := listener.Addr().String()
 	listener.Close()
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	_, err = client.Stream(chargeRequest(context.Background(), http.MethodPost), lovageyard.BackendServer{Address: address})
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
@@ -147,7 +147,7 @@
 func TestSendIsNotRunWhenCancelledBeforeTheFirstByte(t *testing.T) {
 	c := qt.New(t)
 	server, _ := rawServer(t, closeAfterRequest)
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -155,24 +155,24 @@
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
 }
 
-// TestChargeIsNotSentAgain closes a kept connection under a second
-// request: nothing may replay a request that may have run.
-func TestChargeIsNotSentAgain(t *testing.T) {
+// TestChargeIsNotResent closes an idle connection as a second request is sent on it: a request
+// that may have run must not be resent.
+func TestChargeIsNotResent(t *testing.T) {
 	c := qt.New(t)
 	server, connections := rawServer(t, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		write(conn, whole)
-		// The second request is read, and then the connection is closed without an answer.
+		write(conn, readBody)
+		// The second request is read, and then the connection is closed without a response.
 		_, _ = http.ReadRequest(reader)
 	})
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	first, err := client.Stream(mustRequest(http.MethodGet), server)
 	c.Assert(err, qt.IsNil)
-	// The connection is kept as soon as the answer has ended.
+	// The connection is kept as soon as the response has ended.
 	_, err = io.ReadAll(first.Body)
 	c.Assert(err, qt.IsNil)
 	first.Body.Close()
@@ -189,42 +189,42 @@
 	return request
 }
 
-// slowBody is a body whose first byte comes once it is let go.
-type slowBody struct {
-	letGo chan struct{}
+// blockedBody is a body whose first read blocks until it is released.
+type blockedBody struct {
+	release chan struct{}
 }
 
-func (b slowBody) Read(p []byte) (int, error) {
-	<-b.letGo
+func (b blockedBody) Read(p []byte) (int, error) {
+	<-b.release
 	return copy(p, "late"), nil
 }
 
-// A body that its caller sends late is not sent once the attempt has been given up.
-func TestBodyAfterTheEndOfAnAttemptIsNotSent(t *testing.T) {
+// Body data that the caller provides after an attempt was aborted must not be sent.
+func TestBodyAfterAbortedAttemptIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	got := make(chan string, 1)
 	server, _ := rawServer(t, func(conn net.Conn) {
 		text, _ := io.ReadAll(conn)
 		got <- string(text)
 	})
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	body := slowBody{make(chan struct{})}
+	body := blockedBody{make(chan struct{})}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://unused/", body)
 	c.Assert(err, qt.IsNil)
 	request.ContentLength = 4
 	_, err = client.Stream(request, server)
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
-	close(body.letGo)
+	close(body.release)
 	text := <-got
 	c.Assert(text, qt.Contains, "POST / HTTP/1.1")
 	c.Assert(text, qt.Not(qt.Contains), "late")
 }
 
-// An answer longer than an instance holds passes as it comes, and its connection carries the next one.
-func TestLongAnswerIsStreamed(t *testing.T) {
+// A response that is too long for memory must be streamed, and its connection reused.
+func TestLongResponseIsStreamed(t *testing.T) {
 	c := qt.New(t)
 	const size = 40 << 20
 	server, connections := rawServer(t, func(conn net.Conn) {
@@ -240,7 +240,7 @@
 			}
 		}
 	})
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	for range 2 {
 		response, err := client.Stream(mustRequest(http.MethodGet), server)
@@ -253,14 +253,15 @@
 	c.Assert(connections.Load(), qt.Equals, int64(1))
 }
 
-// An answer that is given up midway, or that breaks off, ends its connection and does not look whole.
-func TestAnswerGivenUpEndsItsConnection(t *testing.T) {
+// A response that is closed early or broken off must close its connection and must not appear
+// complete.
+func TestClosedResponseClosesConnection(t *testing.T) {
 	c := qt.New(t)
 	server, connections := rawServer(t, func(conn net.Conn) {
 		readRequestHead(conn)
 		write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 	})
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	response, err := client.Stream(mustRequest(http.MethodGet), server)
 	c.Assert(err, qt.IsNil)
@@ -275,16 +276,16 @@
 	c.Assert(connections.Load(), qt.Equals, int64(2))
 }
 
-// A look-up without a body that meets a kept connection as it closes is sent once more.
-func TestLookUpIsStreamedAgainOnAFreshConnection(t *testing.T) {
+// An idempotent request without a body is resent if a reused connection is closed.
+func TestStreamedLookupIsResentOnNewConnection(t *testing.T) {
 	c := qt.New(t)
 	server, connections := rawServer(t, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		_, _ = http.ReadRequest(reader)
-		write(conn, whole)
+		write(conn, readBody)
 		_, _ = http.ReadRequest(reader)
 	})
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	for range 2 {
 		request := mustRequest(http.MethodGet)
@@ -297,13 +298,13 @@
 	c.Assert(connections.Load(), qt.Equals, int64(2))
 }
 
-func TestInterimAnswersArePassedToTheTrace(t *testing.T) {
+func TestInterimResponsesArePassedToTrace(t *testing.T) {
 	c := qt.New(t)
 	server, _ := rawServer(t, func(conn net.Conn) {
 		readRequestHead(conn)
-		write(conn, "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"+whole)
+		write(conn, "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"+readBody)
 	})
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	hints := 0
 	trace := &httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
@@ -319,7 +320,7 @@
 	c.Assert(hints, qt.Equals, 103)
 }
 
-func TestProbeReadsTheLoad(t *testing.T) {
+func TestProbeReadsLoad(t *testing.T) {
 	c := qt.New(t)
 	server, connections := rawServer(t, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
@@ -332,7 +333,7 @@
 			write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"slots\":8}")
 		}
 	})
-	client := newStream()
+	client := newStreamTransport()
 	defer client.Close()
 	for range 2 {
 		report, err := client.Probe(context.Background(), server)
--- a/link/target.go
+++ b/link/target.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// targetURL returns a URL that is written on the request line just as the client wrote it.
+// targetURL returns a URL that is written to the request line exactly as the client sent it.
 func targetURL(r Request) *url.URL {
 	if strings.HasPrefix(r.Target, "//") {
 		// An opaque part that begins with two slashes would be written with a scheme.
--- a/server/budget.go
+++ b/server/budget.go
@@ -2,31 +2,34 @@
 
 import "sync"
 
-// Retry budget: retries are a share of recent first attempts.
+// Parameters of the retry budget: the tokens that each first attempt adds, and the maximum number
+// of tokens.
 const (
 	retryShare = 0.1
 	retryBurst = 10.0
 )
 
-// RetryBudget bounds retries to a share of the requests.
+// RetryBudget limits retries to a share of the first attempts, as a token bucket. It is safe for
+// concurrent use.
 type RetryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-// NewRetryBudget returns a budget that allows a few retries from the start.
+// NewRetryBudget returns a budget that is half full, so that a few retries are allowed before the
+// first request.
 func NewRetryBudget() *RetryBudget {
 	return &RetryBudget{tokens: retryBurst / 2}
 }
 
-// Deposit credits one first attempt.
+// Deposit adds the credit of one first attempt.
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(retryBurst, b.tokens+retryShare)
 }
 
-// Withdraw says whether a retry is allowed, and debits it.
+// Withdraw reports whether a retry is allowed, and takes a token if so.
 func (b *RetryBudget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/server/choose.go
+++ b/server/choose.go
@@ -6,31 +6,32 @@
 	"github.com/pkg/errors"
 )
 
-// Mode is a way to choose a backend server.
+// Mode is a load balancing algorithm.
 type Mode string
 
-// The ways to choose a server; Random, RoundRobin and LeastInFlight are baselines.
+// The load balancing algorithms; Random, RoundRobin and LeastInFlight are baselines.
 const (
-	// Random takes any server.
+	// Random chooses any server.
 	Random Mode = "random"
-	// RoundRobin takes the servers in turn.
+	// RoundRobin chooses the servers in turn.
 	RoundRobin Mode = "round-robin"
-	// LeastInFlight takes the server with the fewest requests of this instance.
+	// LeastInFlight chooses the server with the fewest requests of this instance.
 	LeastInFlight Mode = "least-in-flight"
-	// Split keeps to an even share of each server's slots.
+	// Split uses at most an equal share of each server's slots.
 	Split Mode = "split"
-	// TwoChoices takes the less loaded of two servers, by own and reported load.
+	// TwoChoices chooses the less loaded of two random servers, by own requests and load reports.
 	TwoChoices Mode = "two-choices"
-	// Shared keeps to the even share and borrows slots that reports show to be free.
+	// Shared uses an equal share of each server's slots, and further slots that load reports show
+	// to be free.
 	Shared Mode = "shared"
 )
 
-// Modes lists the ways to choose a server.
+// Modes returns all modes, the default first.
 func Modes() []Mode {
 	return []Mode{Shared, TwoChoices, Split, LeastInFlight, RoundRobin, Random}
 }
 
-// ParseMode returns the mode of a name.
+// ParseMode returns the mode with a name, or an error if the name is unknown.
 func ParseMode(name string) (Mode, error) {
 	for _, m := range Modes() {
 		if string(m) == name {
@@ -40,92 +41,92 @@
 	return "", errors.Errorf("choice mode %q is not known", name)
 }
 
-// choose returns the server that a request goes to now, or nil.
-func (p *Pool) choose(r Request) *member {
+// choose returns the server that gets a request now, or nil if none has room.
+func (p *Pool) choose(r Request) *backend {
 	switch p.settings.Mode {
 	case Random:
 		return p.chooseRandom(r)
 	case RoundRobin:
-		return p.chooseInTurn(r)
+		return p.chooseRoundRobin(r)
 	case TwoChoices:
-		return p.chooseOfTwo(r)
+		return p.chooseTwoChoices(r)
 	case LeastInFlight:
-		return p.chooseLeast(r, func(m *member) bool { return m.inFlight < m.limit() }, ownLoad)
+		return p.chooseLeast(r, func(be *backend) bool { return be.inFlight < be.limit() }, inFlightLoad)
 	case Split:
-		return p.chooseLeast(r, func(m *member) bool { return m.inFlight < p.floor(m) }, ownLoad)
+		return p.chooseLeast(r, func(be *backend) bool { return be.inFlight < p.guaranteedSlots(be) }, inFlightLoad)
 	}
-	open := func(m *member) bool {
-		return m.inFlight < p.floor(m) || m.inFlight < m.limit() && m.load(r.Now)+1 <= float64(m.slots)+m.spill()
+	open := func(be *backend) bool {
+		return be.inFlight < p.guaranteedSlots(be) || be.inFlight < be.limit() && be.load(r.Now)+1 <= float64(be.slots)+be.overcommit()
 	}
 	return p.chooseLeast(r, open, relativeLoad)
 }
 
-// floor returns the even share of a server's slots that this instance may always use.
-func (p *Pool) floor(m *member) int {
-	return min(m.limit(), max(1, m.slots/p.settings.Instances))
+// guaranteedSlots returns the equal share of a server's slots that this instance may always use.
+func (p *Pool) guaranteedSlots(be *backend) int {
+	return min(be.limit(), max(1, be.slots/p.settings.Instances))
 }
 
-func ownLoad(m *member, _ time.Time) float64 {
-	return float64(m.inFlight)
+func inFlightLoad(be *backend, _ time.Time) float64 {
+	return float64(be.inFlight)
 }
 
-// relativeLoad is the expected wait at a server: its load by slot, times its answer time.
-func relativeLoad(m *member, now time.Time) float64 {
-	load := (m.load(now) + 1) / float64(m.slots)
-	return load * (float64(m.mean) + float64(time.Millisecond))
+// relativeLoad estimates the wait at a server: its load per slot times its mean response time.
+func relativeLoad(be *backend, now time.Time) float64 {
+	load := (be.load(now) + 1) / float64(be.slots)
+	return load * (float64(be.meanDuration) + float64(time.Millisecond))
 }
 
-// chooseLeast returns the open server of the least load; ties are broken at random.
-func (p *Pool) chooseLeast(r Request, open func(*member) bool, load func(*member, time.Time) float64) *member {
-	var best *member
+// chooseLeast returns the open server with the least load; ties are broken at random.
+func (p *Pool) chooseLeast(r Request, open func(*backend) bool, load func(*backend, time.Time) float64) *backend {
+	var best *backend
 	var least float64
 	ties := 0
-	for _, m := range p.members {
-		if !m.takesWork() || !open(m) || p.avoids(r, m) {
+	for _, be := range p.backends {
+		if !be.isAvailable() || !open(be) || p.shouldAvoid(r, be) {
 			continue
 		}
-		l := load(m, r.Now)
+		l := load(be, r.Now)
 		switch {
 		case best == nil || l < least:
-			best, least, ties = m, l, 1
+			best, least, ties = be, l, 1
 		case l == least:
 			ties++
 			if p.random.IntN(ties) == 0 {
-				best = m
+				best = be
 			}
 		}
 	}
 	return best
 }
 
-// avoids says whether a request is kept from a server that it has failed at; the only
-// server that is left is not avoided.
-func (p *Pool) avoids(r Request, m *member) bool {
-	return m.Name == r.Avoid && p.takers() > 1
+// shouldAvoid reports whether a request must not go to a server because an earlier attempt failed
+// there. The only available server is not avoided.
+func (p *Pool) shouldAvoid(r Request, be *backend) bool {
+	return be.Name == r.Avoid && p.available() > 1
 }
 
-func (p *Pool) chooseRandom(r Request) *member {
-	start := p.random.IntN(max(1, len(p.members)))
+func (p *Pool) chooseRandom(r Request) *backend {
+	start := p.random.IntN(max(1, len(p.backends)))
 	return p.firstOpen(r, start)
 }
 
-func (p *Pool) chooseInTurn(r Request) *member {
-	p.next++
-	return p.firstOpen(r, p.next)
+func (p *Pool) chooseRoundRobin(r Request) *backend {
+	p.nextIndex++
+	return p.firstOpen(r, p.nextIndex)
 }
 
-// firstOpen returns the first server from a position on that takes work.
-func (p *Pool) firstOpen(r Request, start int) *member {
-	for i := range p.members {
-		m := p.members[(start+i)%len(p.members)]
-		if m.takesWork() && !p.avoids(r, m) {
-			return m
+// firstOpen returns the first available server from an index on.
+func (p *Pool) firstOpen(r Request, start int) *backend {
+	for i := range p.backends {
+		be := p.backends[(start+i)%len(p.backends)]
+		if be.isAvailable() && !p.shouldAvoid(r, be) {
+			return be
 		}
 	}
 	return nil
 }
 
-func (p *Pool) chooseOfTwo(r Request) *member {
+func (p *Pool) chooseTwoChoices(r Request) *backend {
 	first := p.chooseRandom(r)
 	second := p.chooseRandom(r)
 	if first == nil {
--- a/server/doc.go
+++ b/server/doc.go
@@ -1,4 +1,5 @@
-// Package server shares the slots of backend servers among requests: it chooses a
-// server for each, keeps a bounded queue in the order of deadlines, refuses what can't
-// be answered in time, and bounds retries. It takes time and randomness as input.
+// Package server balances the requests for a service of one site over its backend servers. A Pool
+// limits the requests in flight to the slots of each server, keeps a bounded queue in deadline
+// order, and refuses requests that can't be answered before their deadline; a RetryBudget limits
+// retries. The package performs no I/O; time and random seeds are passed in.
 package server
--- a/server/model_test.go
+++ b/server/model_test.go
@@ -13,38 +13,40 @@
 	"lovageyard.example/lovageyard"
 )
 
-// model is a discrete-event model of entry instances that share backend servers.
-type model struct {
+// simConfig configures a discrete-event simulation of entry instances that share backend servers.
+type simConfig struct {
 	mode      Mode
 	instances int
 	servers   int
 	slots     int
 	queue     int
-	// listedSlots is what the entry instances believe of slots, or 0 if they are right.
+	// listedSlots is the number of slots that the entry instances assume, or 0 if they know the
+	// actual number.
 	listedSlots int
 	mean        time.Duration
 	delay       time.Duration
 	deadline    time.Duration
-	utilised    float64
-	// queuePerSlot is the length of the entry instances' queues.
+	utilisation float64
+	// queuePerSlot is the length of the entry instances' queues per slot.
 	queuePerSlot float64
 	requests     int
 	seed         uint64
-	// slowServer makes server 0 slower by ten, lying makes it report no load.
-	slowServer bool
-	lying      bool
+	// slowServer makes server-1 slower by a factor of ten, misreporting makes it report a load of
+	// 0.
+	slowServer   bool
+	misreporting bool
 }
 
-// outcomes are the figures of one run.
-type outcomes struct {
-	latency  *hdrhistogram.Histogram
-	refused  *hdrhistogram.Histogram
-	answered int
-	retries  int
-	sent     int
-	overflow int
-	shed     int
-	span     time.Duration
+// results are the measurements of one simulation.
+type results struct {
+	latency   *hdrhistogram.Histogram
+	refused   *hdrhistogram.Histogram
+	answered  int
+	retries   int
+	sent      int
+	maxQueued int
+	shed      int
+	duration  time.Duration
 }
 
 type event struct {
@@ -71,46 +73,46 @@
 	return last
 }
 
-type modelServer struct {
+type simServer struct {
 	name    string
 	running int
 	waiting []func()
 }
 
-type modelRequest struct {
-	arrived time.Time
-	avoid   string
-	tries   int
+type simRequest struct {
+	arrived  time.Time
+	avoid    string
+	attempts int
 }
 
-type modelEntry struct {
+type simEntry struct {
 	pool    *Pool
 	budget  *RetryBudget
-	waiting []modelWaiter
+	waiting []simWaiter
 }
 
-type modelWaiter struct {
+type simWaiter struct {
 	waiter  *Waiter
-	request modelRequest
+	request simRequest
 }
 
-type run struct {
-	model
-	outcomes
+type simulation struct {
+	simConfig
+	results
 	now     time.Time
 	queue   events
 	order   int
 	random  *rand.Rand
-	entries []*modelEntry
-	hosts   map[string]*modelServer
+	entries []*simEntry
+	hosts   map[string]*simServer
 }
 
-func (r *run) after(d time.Duration, do func()) {
+func (r *simulation) after(d time.Duration, do func()) {
 	r.order++
 	heap.Push(&r.queue, event{at: r.now.Add(d), order: r.order, do: do})
 }
 
-func (r *run) serviceTime(host string) time.Duration {
+func (r *simulation) serviceTime(host string) time.Duration {
 	t := float64(r.mean) * (0.5 + 0.5*r.random.ExpFloat64())
 	if r.slowServer && host == "server-1" {
 		t *= 10
@@ -118,27 +120,27 @@
 	return time.Duration(t)
 }
 
-func (m model) run() outcomes {
-	r := &run{model: m, now: testStart, random: rand.New(rand.NewPCG(m.seed, m.seed)), hosts: make(map[string]*modelServer)}
+func (m simConfig) run() results {
+	r := &simulation{simConfig: m, now: testStart, random: rand.New(rand.NewPCG(m.seed, m.seed)), hosts: make(map[string]*simServer)}
 	r.latency = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	r.refused = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	list := servers(m.servers, max(m.slots, m.listedSlots))
 	for _, b := range list {
-		r.hosts[b.Name] = &modelServer{name: b.Name}
+		r.hosts[b.Name] = &simServer{name: b.Name}
 	}
 	for n := range m.instances {
-		e := &modelEntry{pool: NewPool(Settings{Mode: m.mode, QueuePerSlot: m.queuePerSlot, Instances: m.instances}, m.seed+uint64(n)), budget: NewRetryBudget()}
+		e := &simEntry{pool: NewPool(Settings{Mode: m.mode, QueuePerSlot: m.queuePerSlot, Instances: m.instances}, m.seed+uint64(n)), budget: NewRetryBudget()}
 		e.pool.SetServers(list)
 		r.entries = append(r.entries, e)
 	}
 	capacity := float64(m.servers*m.slots) / m.mean.Seconds()
 	due := time.Duration(0)
 	for range m.requests {
-		due += time.Duration(r.random.ExpFloat64() / (capacity * m.utilised) * float64(time.Second))
+		due += time.Duration(r.random.ExpFloat64() / (capacity * m.utilisation) * float64(time.Second))
 		e := r.entries[r.random.IntN(len(r.entries))]
-		r.after(due, func() { r.arrive(e, modelRequest{arrived: r.now}) })
+		r.after(due, func() { r.arrive(e, simRequest{arrived: r.now}) })
 	}
-	r.span = due
+	r.duration = due
 	const expireEvery = 50 * time.Millisecond
 	for at := expireEvery; at < due; at += expireEvery {
 		r.after(at, r.expire)
@@ -148,31 +150,31 @@
 		r.now = next.at
 		next.do()
 	}
-	return r.outcomes
+	return r.results
 }
 
-func (r *run) expire() {
+func (r *simulation) expire() {
 	for _, e := range r.entries {
 		e.pool.Expire(r.now)
 		r.poll(e)
 	}
 }
 
-func (r *run) arrive(e *modelEntry, q modelRequest) {
-	if q.tries == 0 {
+func (r *simulation) arrive(e *simEntry, q simRequest) {
+	if q.attempts == 0 {
 		e.budget.Deposit()
 	}
 	result, waiter := e.pool.Acquire(Request{Now: r.now, Deadline: q.arrived.Add(r.deadline), Avoid: q.avoid})
 	if waiter != nil {
-		e.waiting = append(e.waiting, modelWaiter{waiter: waiter, request: q})
+		e.waiting = append(e.waiting, simWaiter{waiter: waiter, request: q})
 		return
 	}
 	r.proceed(e, q, result)
 }
 
-// poll passes on the results of waiters.
-func (r *run) poll(e *modelEntry) {
-	var left []modelWaiter
+// poll processes the results of waiting requests.
+func (r *simulation) poll(e *simEntry) {
+	var left []simWaiter
 	waiting := e.waiting
 	e.waiting = nil
 	for _, w := range waiting {
@@ -186,7 +188,7 @@
 	e.waiting = append(left, e.waiting...)
 }
 
-func (r *run) proceed(e *modelEntry, q modelRequest, result Result) {
+func (r *simulation) proceed(e *simEntry, q simRequest, result Result) {
 	if result.Err != nil {
 		_ = r.refused.RecordValue(max(1, r.now.Sub(q.arrived).Microseconds()))
 		return
@@ -196,27 +198,27 @@
 	sentAt := r.now
 	answer := func(failed bool) {
 		report := lovageyard.LoadReport{Slots: max(r.slots, r.listedSlots), InFlight: host.running, Queued: len(host.waiting)}
-		if r.lying && host.name == "server-1" {
+		if r.misreporting && host.name == "server-1" {
 			report.InFlight, report.Queued = 0, 0
 		}
 		r.after(r.delay, func() {
 			e.pool.Release(result, lovageyard.Outcome{At: r.now, Duration: r.now.Sub(sentAt), Report: report, Reported: true, Failed: failed})
-			r.end(e, q, host, failed)
+			r.finish(e, q, host, failed)
 			r.poll(e)
 		})
 	}
 	r.after(r.delay, func() { r.serve(host, answer) })
 }
 
-func (r *run) end(e *modelEntry, q modelRequest, host *modelServer, failed bool) {
+func (r *simulation) finish(e *simEntry, q simRequest, host *simServer, failed bool) {
 	if !failed {
 		r.answered++
 		_ = r.latency.RecordValue(r.now.Sub(q.arrived).Microseconds())
 		return
 	}
-	q.tries++
+	q.attempts++
 	q.avoid = host.name
-	if q.tries >= 3 || !e.budget.Withdraw() {
+	if q.attempts >= 3 || !e.budget.Withdraw() {
 		_ = r.refused.RecordValue(max(1, r.now.Sub(q.arrived).Microseconds()))
 		return
 	}
@@ -224,8 +226,8 @@
 	r.arrive(e, q)
 }
 
-func (r *run) serve(host *modelServer, answer func(failed bool)) {
-	if host.running >= r.slots && len(host.waiting) >= r.model.queue {
+func (r *simulation) serve(host *simServer, answer func(failed bool)) {
+	if host.running >= r.slots && len(host.waiting) >= r.simConfig.queue {
 		r.shed++
 		answer(true)
 		return
@@ -247,12 +249,12 @@
 		return
 	}
 	host.waiting = append(host.waiting, start)
-	r.overflow = max(r.overflow, len(host.waiting))
+	r.maxQueued = max(r.maxQueued, len(host.waiting))
 }
 
-// ideal is one central queue right at all slots, as long as all queues together, with
-// the same delays and arrivals.
-func (m model) ideal() outcomes {
+// ideal simulates one central queue in front of all slots, as long as all queues together, with the
+// same delays and arrivals.
+func (m simConfig) ideal() results {
 	central := m
 	central.mode = LeastInFlight
 	central.instances = 1
@@ -263,29 +265,30 @@
 	return central.run()
 }
 
-func landavgiftModel(mode Mode, utilised float64) model {
-	return model{
+func landavgiftConfig(mode Mode, utilisation float64) simConfig {
+	return simConfig{
 		mode: mode, instances: 2, servers: 2, slots: 8, queue: 8, mean: 20 * time.Millisecond, delay: time.Millisecond,
-		deadline: 2 * time.Second, utilised: utilised, queuePerSlot: 3, requests: 60000, seed: 1,
+		deadline: 2 * time.Second, utilisation: utilisation, queuePerSlot: 3, requests: 60000, seed: 1,
 	}
 }
 
-func sanadModel(mode Mode, utilised float64) model {
-	m := landavgiftModel(mode, utilised)
+func sanadConfig(mode Mode, utilisation float64) simConfig {
+	m := landavgiftConfig(mode, utilisation)
 	m.slots, m.queue = 3, 3
 	return m
 }
 
-func (o outcomes) p(quantile float64) float64 {
+func (o results) p(quantile float64) float64 {
 	return float64(o.latency.ValueAtQuantile(quantile)) / 1000
 }
 
-// TestSharedMeetsItsAims runs the chosen mode at the sizes of one failure domain.
-func TestSharedMeetsItsAims(t *testing.T) {
+// TestSharedModeMeetsTargets checks latency, throughput and refusals of the Shared mode with the
+// sizes of one failure domain.
+func TestSharedModeMeetsTargets(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		make func(Mode, float64) model
-	}{{"landavgift", landavgiftModel}, {"sanad", sanadModel}} {
+		make func(Mode, float64) simConfig
+	}{{"landavgift", landavgiftConfig}, {"sanad", sanadConfig}} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			busy := test.make(Shared, 0.8)
@@ -296,7 +299,7 @@
 			over := test.make(Shared, 1.3)
 			over.requests = 20000
 			got = over.run()
-			rate := float64(got.answered) / got.span.Seconds()
+			rate := float64(got.answered) / got.duration.Seconds()
 			capacity := float64(over.servers*over.slots) / over.mean.Seconds()
 			c.Assert(rate >= 0.95*capacity, qt.IsTrue, qt.Commentf("answered %v of %v a second", rate, capacity))
 			c.Assert(float64(got.refused.ValueAtQuantile(99))/1000 < 5, qt.IsTrue)
@@ -305,52 +308,52 @@
 	}
 }
 
-// BenchmarkModel compares the ways to choose a server; its metrics are the figures of
+// BenchmarkModel compares the load balancing algorithms; its metrics are the figures of
 // docs/ADMISSION.md.
 func BenchmarkModel(b *testing.B) {
 	for _, deployment := range []struct {
 		name string
-		make func(Mode, float64) model
-	}{{"landavgift", landavgiftModel}, {"sanad", sanadModel}} {
-		for _, utilised := range []float64{0.5, 0.8, 0.95, 1.3} {
+		make func(Mode, float64) simConfig
+	}{{"landavgift", landavgiftConfig}, {"sanad", sanadConfig}} {
+		for _, utilisation := range []float64{0.5, 0.8, 0.95, 1.3} {
 			for _, mode := range Modes() {
-				m := deployment.make(mode, utilised)
-				b.Run(fmt.Sprintf("%s/%v/%s", deployment.name, utilised, mode), func(b *testing.B) {
+				m := deployment.make(mode, utilisation)
+				b.Run(fmt.Sprintf("%s/%v/%s", deployment.name, utilisation, mode), func(b *testing.B) {
 					report(b, m, m.run())
 				})
 			}
-			m := deployment.make(Shared, utilised)
-			b.Run(fmt.Sprintf("%s/%v/ideal", deployment.name, utilised), func(b *testing.B) {
+			m := deployment.make(Shared, utilisation)
+			b.Run(fmt.Sprintf("%s/%v/ideal", deployment.name, utilisation), func(b *testing.B) {
 				report(b, m, m.ideal())
 			})
 		}
 	}
-	for _, utilised := range []float64{0.8, 0.95, 1.3} {
+	for _, utilisation := range []float64{0.8, 0.95, 1.3} {
 		for _, length := range []float64{1, 2, 3, 5} {
-			m := sanadModel(Shared, utilised)
+			m := sanadConfig(Shared, utilisation)
 			m.queuePerSlot = length
-			b.Run(fmt.Sprintf("queue/%v/%v", utilised, length), func(b *testing.B) { report(b, m, m.run()) })
-			b.Run(fmt.Sprintf("queue/%v/%v-ideal", utilised, length), func(b *testing.B) { report(b, m, m.ideal()) })
+			b.Run(fmt.Sprintf("queue/%v/%v", utilisation, length), func(b *testing.B) { report(b, m, m.run()) })
+			b.Run(fmt.Sprintf("queue/%v/%v-ideal", utilisation, length), func(b *testing.B) { report(b, m, m.ideal()) })
 		}
 	}
 	for _, mode := range Modes() {
-		slow := landavgiftModel(mode, 0.4)
+		slow := landavgiftConfig(mode, 0.4)
 		slow.slowServer = true
 		b.Run("one-slow/0.4/"+string(mode), func(b *testing.B) { report(b, slow, slow.run()) })
-		lying := landavgiftModel(mode, 0.8)
-		lying.lying = true
-		b.Run("one-lying/0.8/"+string(mode), func(b *testing.B) { report(b, lying, lying.run()) })
+		misreporting := landavgiftConfig(mode, 0.8)
+		misreporting.misreporting = true
+		b.Run("one-lying/0.8/"+string(mode), func(b *testing.B) { report(b, misreporting, misreporting.run()) })
 	}
 }
 
-func report(b *testing.B, m model, o outcomes) {
+func report(b *testing.B, m simConfig, o results) {
 	capacity := float64(m.servers*m.slots) / m.mean.Seconds()
 	b.ReportMetric(o.p(50), "p50-ms")
 	b.ReportMetric(o.p(99), "p99-ms")
 	b.ReportMetric(100*float64(o.refused.TotalCount())/float64(m.requests), "refused-%")
-	b.ReportMetric(100*float64(o.answered)/o.span.Seconds()/capacity, "answered-%")
+	b.ReportMetric(100*float64(o.answered)/o.duration.Seconds()/capacity, "answered-%")
 	b.ReportMetric(float64(o.refused.ValueAtQuantile(99))/1000, "refusal-p99-ms")
-	b.ReportMetric(float64(o.overflow), "most-queued-at-server")
+	b.ReportMetric(float64(o.maxQueued), "most-queued-at-server")
 	b.ReportMetric(float64(o.shed), "shed")
 	b.ReportMetric(0, "ns/op")
 }
--- a/server/pool.go
+++ b/server/pool.go
@@ -9,55 +9,56 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Settings are the rules that a pool follows.
+// Settings configure a Pool.
 type Settings struct {
-	// Mode is how a server is chosen.
+	// Mode is the load balancing algorithm.
 	Mode Mode
-	// QueuePerSlot is the length of the queue for each slot of the pool's servers.
+	// QueuePerSlot is the maximum length of the queue per available slot of the pool's servers.
 	QueuePerSlot float64
 	// Instances is the number of entry instances that share the servers, at least 1.
 	Instances int
 }
 
-// Request asks a pool for a server.
+// Request is a request for a server of the pool.
 type Request struct {
 	Now      time.Time
 	Deadline time.Time
-	// Importance orders requests when not all can be queued; the lowest is refused first.
+	// Importance is the priority of the request if not all can be queued; the lowest is refused
+	// first.
 	Importance int
-	// Avoid names a server that an earlier attempt failed at, or is "".
+	// Avoid names a server at which an earlier attempt failed, or is "".
 	Avoid string
 }
 
-// Result is a pool's answer to a Request: a server, or the error of a refusal.
+// Result is the result of a Request: either a server or the error of a refusal.
 type Result struct {
 	Server     lovageyard.BackendServer
 	InFlight   int
 	Candidates int
 	Err        *lovageyard.RequestError
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the delay after which a refused caller should retry.
 	RetryAfter time.Duration
-	// Mean is the mean answer time of the pool so far.
+	// Mean is the mean response time of the pool so far.
 	Mean time.Duration
 
-	member *member
+	backend *backend
 }
 
-// Pool holds the backend servers of one service at one site. Its methods may be
-// called from several goroutines.
+// Pool manages the backend servers of one service at one site. Its methods are safe for concurrent
+// use.
 type Pool struct {
-	mu       sync.Mutex
-	settings Settings
-	random   *rand.Rand
-	members  []*member
-	queue    queue
-	next     int
-	mean     time.Duration
-	answers  uint64
-	listed   bool
+	mu           sync.Mutex
+	settings     Settings
+	random       *rand.Rand
+	backends     []*backend
+	queue        waitQueue
+	nextIndex    int
+	meanDuration time.Duration
+	answers      uint64
+	hasServers   bool
 }
 
-// NewPool returns a pool without servers.
+// NewPool returns a pool without servers; SetServers adds them.
 func NewPool(s Settings, seed uint64) *Pool {
 	if s.Instances < 1 {
 		s.Instances = 1
@@ -72,58 +73,58 @@
 	p.settings.Instances = max(1, n)
 }
 
-// SetServers takes in the list of servers: ones that join a pool begin cold, and ones
-// that are no longer listed take no new work. Those of the first list are taken as ready,
-// as it is this instance that is new, not they.
+// SetServers replaces the list of servers. A server that joins later starts cold, and one that is
+// no longer listed gets no new requests. The servers of the first list are assumed to be warm, as
+// it is this instance that has started and not they.
 func (p *Pool) SetServers(servers []lovageyard.BackendServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first := !p.listed
-	p.listed = true
-	var members []*member
+	first := !p.hasServers
+	p.hasServers = true
+	var backends []*backend
 	for _, b := range servers {
-		m := p.find(b.Name)
-		if m == nil || m.Address != b.Address {
-			m = newMember(b)
+		be := p.find(b.Name)
+		if be == nil || be.Address != b.Address {
+			be = newBackend(b)
 			if first {
-				m.fire(eventWarm)
+				be.trigger(eventWarm)
 			}
 		}
-		m.BackendServer = b
+		be.BackendServer = b
 		if b.State != lovageyard.StateLive {
-			m.fire(eventLeaving)
+			be.trigger(eventLeaving)
 		}
-		members = append(members, m)
+		backends = append(backends, be)
 	}
-	p.members = members
+	p.backends = backends
 }
 
-// SetState notes that a server is leaving, or that a leaving one has come back.
+// SetState records that a server is leaving, or that a leaving one has returned.
 func (p *Pool) SetState(name string, state lovageyard.InstanceState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.find(name)
+	be := p.find(name)
 	switch {
-	case m == nil:
+	case be == nil:
 	case state == lovageyard.StateLive:
-		m.fire(eventReturn)
+		be.trigger(eventReturn)
 	default:
-		m.fire(eventLeaving)
+		be.trigger(eventLeaving)
 	}
 }
 
-// Acquire gives a request a server, refuses it, or queues it; a queued request gets
-// its result on the returned waiter's channel, and the Result is then empty.
+// Acquire assigns a server to a request, refuses it, or queues it. A queued request gets its result
+// on the returned waiter's channel, and the Result is then empty.
 func (p *Pool) Acquire(r Request) (Result, *Waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.choose(r); m != nil {
-		return p.send(m), nil
+	if be := p.choose(r); be != nil {
+		return p.assign(be), nil
 	}
-	if p.takers() == 0 {
+	if p.available() == 0 {
 		return p.refuse("no backend server of the site takes work"), nil
 	}
-	if wait := p.expectedWait(); r.Now.Add(wait + p.mean).After(r.Deadline) {
+	if wait := p.expectedWait(); r.Now.Add(wait + p.meanDuration).After(r.Deadline) {
 		return p.refuse("the deadline can't be met"), nil
 	}
 	if p.queue.Len() >= p.queueLimit() {
@@ -131,70 +132,71 @@
 		if evicted == nil {
 			return p.refuse("the queue is full"), nil
 		}
-		evicted.finish(p.refuse("a more important request took the place in the queue"))
+		evicted.deliver(p.refuse("a more important request took the place in the queue"))
 	}
 	w := newWaiter(r)
 	p.queue.push(w)
 	return Result{}, w
 }
 
-// Release returns the slot that a result gave and passes it to the queue.
+// Release frees the slot of a result and assigns it to the next queued request. It must be called
+// once for each result with a server.
 func (p *Pool) Release(r Result, a lovageyard.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.member.inFlight--
-	r.member.learn(a)
+	r.backend.inFlight--
+	r.backend.applyResponse(a)
 	if !a.Failed {
 		p.answers++
-		p.learnMean(a.Duration)
+		p.updateMean(a.Duration)
 	}
-	p.dispatch(a.At)
+	p.drainQueue(a.At)
 }
 
-// MarkUnreachable notes that a server could not be reached; ObserveReport lifts it.
+// MarkUnreachable excludes a server that could not be reached until ObserveReport is called for it.
 func (p *Pool) MarkUnreachable(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.find(name); m != nil {
-		m.fire(eventFailed)
+	if be := p.find(name); be != nil {
+		be.trigger(eventFailed)
 	}
 }
 
-// ObserveReport takes in the answer to a probe.
+// ObserveReport applies the load report with which a server responded to a probe.
 func (p *Pool) ObserveReport(name string, r lovageyard.LoadReport, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.find(name)
-	if m == nil {
+	be := p.find(name)
+	if be == nil {
 		return
 	}
 	if !r.Leaving {
-		m.fire(eventHealthy)
+		be.trigger(eventHealthy)
 	}
-	m.learnReport(now, r)
-	p.dispatch(now)
+	be.applyReport(now, r)
+	p.drainQueue(now)
 }
 
-// Expire refuses the queued requests whose deadline has come, and passes on slots
-// that others have given back.
+// Expire refuses the queued requests that can't be answered before their deadline, and assigns
+// slots that other instances have freed.
 func (p *Pool) Expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for w := p.queue.first(); w != nil && !now.Add(p.mean).Before(w.request.Deadline); w = p.queue.first() {
+	for w := p.queue.first(); w != nil && !now.Add(p.meanDuration).Before(w.request.Deadline); w = p.queue.first() {
 		p.queue.remove(w)
-		w.finish(p.refuse("the deadline came while the request was queued"))
+		w.deliver(p.refuse("the deadline came while the request was queued"))
 	}
-	p.dispatch(now)
+	p.drainQueue(now)
 }
 
-// Cancel takes a waiter out of the queue; it returns false if the waiter has its result.
+// Cancel removes a waiter from the queue; it returns false if the waiter already has its result.
 func (p *Pool) Cancel(w *Waiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.remove(w)
 }
 
-// Stats counts what a pool holds.
+// Stats are the counts that a pool exports for status pages and reports.
 type Stats struct {
 	Servers   int
 	Available int
@@ -204,11 +206,11 @@
 	InFlight  int
 	Load      float64
 	Queued    int
-	// Mean is the mean answer time that this instance sees.
+	// Mean is the mean response time as seen by this instance.
 	Mean time.Duration
-	// ServiceTime is the mean time that the servers report to spend on a request, or 0.
+	// ServiceTime is the mean time per request that the servers report, or 0 if none does.
 	ServiceTime time.Duration
-	// Answers counts the answers so far.
+	// Answers is the number of successful responses so far.
 	Answers uint64
 }
 
@@ -216,105 +218,105 @@
 func (p *Pool) Stats(now time.Time) Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := Stats{Servers: len(p.members), Queued: p.queue.Len(), Mean: p.mean, Answers: p.answers}
+	s := Stats{Servers: len(p.backends), Queued: p.queue.Len(), Mean: p.meanDuration, Answers: p.answers}
 	var reporting int
-	for _, m := range p.members {
-		c.InFlight += m.inFlight
+	for _, be := range p.backends {
+		s.InFlight += be.inFlight
 		switch {
-		case m.takesWork():
-			c.Available++
-			c.Slots += m.slots
-			c.Load += m.load(now)
-			if m.service > 0 {
+		case be.isAvailable():
+			s.Available++
+			s.Slots += be.slots
+			s.Load += be.load(now)
+			if be.serviceTime > 0 {
 				reporting++
-				c.ServiceTime += (m.service - c.ServiceTime) / time.Duration(reporting)
+				s.ServiceTime += (be.serviceTime - s.ServiceTime) / time.Duration(reporting)
 			}
-		case m.state == stateSuspect:
-			c.Suspects = append(c.Suspects, m.BackendServer)
-		case m.state == stateLeaving:
-			c.Leaving = append(c.Leaving, m.BackendServer)
+		case be.state == stateSuspect:
+			s.Suspects = append(s.Suspects, be.BackendServer)
+		case be.state == stateLeaving:
+			s.Leaving = append(s.Leaving, be.BackendServer)
 		}
 	}
-	return c
+	return s
 }
 
-// HasAvailable says whether any server of the pool takes new work.
+// HasAvailable reports whether any server of the pool accepts new requests.
 func (p *Pool) HasAvailable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.takers() > 0
+	return p.available() > 0
 }
 
-func (p *Pool) find(name string) *member {
-	position := slices.IndexFunc(p.members, func(m *member) bool {
-		return m.Name == name
+func (p *Pool) find(name string) *backend {
+	position := slices.IndexFunc(p.backends, func(be *backend) bool {
+		return be.Name == name
 	})
 	if position < 0 {
 		return nil
 	}
-	return p.members[position]
+	return p.backends[position]
 }
 
-func (p *Pool) takers() int {
+func (p *Pool) available() int {
 	count := 0
-	for _, m := range p.members {
-		if m.takesWork() {
+	for _, be := range p.backends {
+		if be.isAvailable() {
 			count++
 		}
 	}
 	return count
 }
 
-func (p *Pool) send(m *member) Result {
-	m.inFlight++
-	return Result{Server: m.BackendServer, InFlight: m.inFlight, Candidates: p.takers(), Mean: p.mean, member: m}
+func (p *Pool) assign(be *backend) Result {
+	be.inFlight++
+	return Result{Server: be.BackendServer, InFlight: be.inFlight, Candidates: p.available(), Mean: p.meanDuration, backend: be}
 }
 
 func (p *Pool) refuse(reason string) Result {
 	return Result{
 		Err:        lovageyard.NotRun(reason, nil),
-		Candidates: p.takers(),
-		RetryAfter: p.expectedWait() + p.mean,
+		Candidates: p.available(),
+		RetryAfter: p.expectedWait() + p.meanDuration,
 	}
 }
 
-// dispatch gives free slots to the queue's requests, the earliest deadline first.
-func (p *Pool) dispatch(now time.Time) {
+// drainQueue assigns free slots to the queued requests, the earliest deadline first.
+func (p *Pool) drainQueue(now time.Time) {
 	for w := p.queue.first(); w != nil; w = p.queue.first() {
 		r := w.request
 		r.Now = now
-		m := p.choose(r)
-		if m == nil {
+		be := p.choose(r)
+		if be == nil {
 			return
 		}
 		p.queue.remove(w)
-		w.finish(p.send(m))
+		w.deliver(p.assign(be))
 	}
 }
 
-func (p *Pool) learnMean(d time.Duration) {
-	if p.mean == 0 {
-		p.mean = d
+func (p *Pool) updateMean(d time.Duration) {
+	if p.meanDuration == 0 {
+		p.meanDuration = d
 	}
-	p.mean += time.Duration(smoothing * float64(d-p.mean))
+	p.meanDuration += time.Duration(meanWeight * float64(d-p.meanDuration))
 }
 
-// expectedWait estimates how long a request that joins the queue now would wait.
+// expectedWait estimates the queueing time of a request that joins the queue now.
 func (p *Pool) expectedWait() time.Duration {
-	return time.Duration(float64(p.mean) * float64(p.queue.Len()+1) / max(1, p.share()))
+	return time.Duration(float64(p.meanDuration) * float64(p.queue.Len()+1) / max(1, p.availableSlots()))
 }
 
-// share returns the slots that this instance can count on.
-func (p *Pool) share() float64 {
+// availableSlots returns this instance's share of the slots of the available servers.
+func (p *Pool) availableSlots() float64 {
 	slots := 0
-	for _, m := range p.members {
-		if m.takesWork() {
-			slots += m.slots
+	for _, be := range p.backends {
+		if be.isAvailable() {
+			slots += be.slots
 		}
 	}
 	return float64(slots) / float64(p.settings.Instances)
 }
 
 func (p *Pool) queueLimit() int {
-	return max(1, int(p.settings.QueuePerSlot*p.share()))
+	return max(1, int(p.settings.QueuePerSlot*p.availableSlots()))
 }
--- a/server/pool_test.go
+++ b/server/pool_test.go
@@ -30,11 +30,11 @@
 	return p
 }
 
-func ask(at time.Time, deadline time.Duration, importance int) Request {
+func newRequest(at time.Time, deadline time.Duration, importance int) Request {
 	return Request{Now: at, Deadline: at.Add(deadline), Importance: importance}
 }
 
-func answered(at time.Time, took time.Duration) lovageyard.Outcome {
+func success(at time.Time, took time.Duration) lovageyard.Outcome {
 	return lovageyard.Outcome{At: at, Duration: took}
 }
 
@@ -45,20 +45,20 @@
 			p := newTestPool(mode, 2, 3, 1)
 			var sent []Result
 			for range 6 {
-				r, w := p.Acquire(ask(testStart, time.Minute, 5))
+				r, w := p.Acquire(newRequest(testStart, time.Minute, 5))
 				c.Assert(w, qt.IsNil)
 				c.Assert(r.Err == nil, qt.IsTrue)
 				sent = append(sent, r)
 			}
 			for range 6 {
-				_, w := p.Acquire(ask(testStart, time.Minute, 5))
+				_, w := p.Acquire(newRequest(testStart, time.Minute, 5))
 				c.Assert(w, qt.IsNotNil)
 			}
-			r, w := p.Acquire(ask(testStart, time.Minute, 5))
+			r, w := p.Acquire(newRequest(testStart, time.Minute, 5))
 			c.Assert(w, qt.IsNil)
 			c.Assert(r.Err.Verdict, qt.Equals, lovageyard.VerdictNotRun)
 			c.Assert(p.Stats(testStart).InFlight, qt.Equals, 6)
-			p.Release(sent[0], answered(testStart, time.Millisecond))
+			p.Release(sent[0], success(testStart, time.Millisecond))
 			c.Assert(p.Stats(testStart).InFlight, qt.Equals, 6)
 			c.Assert(p.Stats(testStart).Queued, qt.Equals, 5)
 		})
@@ -68,41 +68,41 @@
 func TestPoolServesEarliestDeadlineFirst(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPool(Shared, 1, 1, 1)
-	first, _ := p.Acquire(ask(testStart, time.Minute, 5))
-	_, late := p.Acquire(ask(testStart, 50*time.Second, 5))
+	first, _ := p.Acquire(newRequest(testStart, time.Minute, 5))
+	_, late := p.Acquire(newRequest(testStart, 50*time.Second, 5))
 	c.Assert(late, qt.IsNotNil)
 	p.settings.QueuePerSlot = 2
-	_, early := p.Acquire(ask(testStart, 10*time.Second, 5))
+	_, early := p.Acquire(newRequest(testStart, 10*time.Second, 5))
 	c.Assert(early, qt.IsNotNil)
-	p.Release(first, answered(testStart, time.Millisecond))
+	p.Release(first, success(testStart, time.Millisecond))
 	c.Assert(len(early.Result()), qt.Equals, 1)
 	c.Assert(len(late.Result()), qt.Equals, 0)
 	c.Assert(p.Cancel(late), qt.IsTrue)
 	c.Assert(p.Cancel(early), qt.IsFalse)
 }
 
-func TestPoolRefusesTheLeastImportantFirst(t *testing.T) {
+func TestPoolRefusesLeastImportantFirst(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPool(Shared, 1, 1, 1)
-	p.Acquire(ask(testStart, time.Minute, 5))
-	_, statement := p.Acquire(ask(testStart, time.Minute, 2))
-	_, charge := p.Acquire(ask(testStart, time.Minute, 9))
+	p.Acquire(newRequest(testStart, time.Minute, 5))
+	_, statement := p.Acquire(newRequest(testStart, time.Minute, 2))
+	_, charge := p.Acquire(newRequest(testStart, time.Minute, 9))
 	c.Assert(charge, qt.IsNotNil)
 	r := <-statement.Result()
 	c.Assert(r.Err.Verdict, qt.Equals, lovageyard.VerdictNotRun)
 }
 
-func TestPoolRefusesAtOnceWhatCantBeAnsweredInTime(t *testing.T) {
+func TestPoolRefusesRequestsPastDeadline(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPool(Shared, 1, 1, 1)
-	r, _ := p.Acquire(ask(testStart, time.Minute, 5))
-	p.Release(r, answered(testStart, 100*time.Millisecond))
-	p.Acquire(ask(testStart, time.Minute, 5))
-	r, w := p.Acquire(ask(testStart, 150*time.Millisecond, 5))
+	r, _ := p.Acquire(newRequest(testStart, time.Minute, 5))
+	p.Release(r, success(testStart, 100*time.Millisecond))
+	p.Acquire(newRequest(testStart, time.Minute, 5))
+	r, w := p.Acquire(newRequest(testStart, 150*time.Millisecond, 5))
 	c.Assert(w, qt.IsNil)
 	c.Assert(r.Err, qt.ErrorMatches, "the deadline can't be met")
 	c.Assert(r.RetryAfter > 0, qt.IsTrue)
-	_, w = p.Acquire(ask(testStart, 250*time.Millisecond, 5))
+	_, w = p.Acquire(newRequest(testStart, 250*time.Millisecond, 5))
 	c.Assert(w, qt.IsNotNil)
 	p.Expire(testStart.Add(249 * time.Millisecond))
 	c.Assert((<-w.Result()).Err.Verdict, qt.Equals, lovageyard.VerdictNotRun)
@@ -111,11 +111,11 @@
 func TestPoolSharesSlots(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPool(Shared, 1, 8, 2)
-	// The server reports that others hold all but one of its slots.
+	// The server reports that other instances use all but one of its slots.
 	p.ObserveReport("server-1", lovageyard.LoadReport{Slots: 8, InFlight: 7}, testStart)
 	sent := 0
 	for range 8 {
-		if _, w := p.Acquire(ask(testStart, time.Minute, 5)); w == nil {
+		if _, w := p.Acquire(newRequest(testStart, time.Minute, 5)); w == nil {
 			sent++
 		}
 	}
@@ -161,26 +161,26 @@
 	}
 }
 
-func TestPoolRampsUpServersThatJoin(t *testing.T) {
+func TestPoolRampsUpNewServers(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPool(Shared, 1, 8, 1)
 	p.SetServers(servers(2, 8))
 	joined := p.find("server-2")
 	c.Assert(joined.state, qt.Equals, stateCold)
 	c.Assert(joined.limit(), qt.Equals, 1)
-	for range warmAnswers {
-		joined.learn(answered(testStart, time.Millisecond))
+	for range warmUpResponses {
+		joined.applyResponse(success(testStart, time.Millisecond))
 	}
 	c.Assert(joined.state, qt.Equals, stateReady)
 	c.Assert(joined.limit(), qt.Equals, 8)
 }
 
-func TestPoolAvoidsTheServerThatFailed(t *testing.T) {
+func TestPoolAvoidsFailedServer(t *testing.T) {
 	for _, mode := range Modes() {
 		t.Run(string(mode), func(t *testing.T) {
 			c := qt.New(t)
 			p := newTestPool(mode, 2, 4, 1)
-			r := ask(testStart, time.Minute, 5)
+			r := newRequest(testStart, time.Minute, 5)
 			r.Avoid = "server-1"
 			for range 3 {
 				result, _ := p.Acquire(r)
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestBudgetBoundsRetries(t *testing.T) {
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	c := qt.New(t)
 	b := NewRetryBudget()
 	const requests = 10000
--- a/server/queue.go
+++ b/server/queue.go
@@ -2,68 +2,68 @@
 
 import "container/heap"
 
-// Waiter is a request in a pool's queue.
+// Waiter is a request in the queue of a Pool.
 type Waiter struct {
 	request  Request
 	result   chan Result
-	position int
-	order    uint64
+	index    int
+	sequence uint64
 }
 
 func newWaiter(r Request) *Waiter {
-	return &Waiter{request: r, result: make(chan Result, 1), position: -1}
+	return &Waiter{request: r, result: make(chan Result, 1), index: -1}
 }
 
-// Result delivers the result once.
+// Result returns the channel on which the result is delivered once.
 func (w *Waiter) Result() <-chan Result {
 	return w.result
 }
 
-func (w *Waiter) finish(r Result) {
+func (w *Waiter) deliver(r Result) {
 	w.result <- r
 }
 
-// queue orders waiters by deadline, those of one deadline by arrival.
-type queue struct {
-	heap  waiterHeap
-	order uint64
+// waitQueue orders waiters by deadline, and by arrival if the deadlines are equal.
+type waitQueue struct {
+	heap     waiterHeap
+	sequence uint64
 }
 
 // Len returns the number of waiters.
-func (q *queue) Len() int {
+func (q *waitQueue) Len() int {
 	return len(q.heap)
 }
 
-func (q *queue) push(w *Waiter) {
-	q.order++
-	w.order = q.order
+func (q *waitQueue) push(w *Waiter) {
+	q.sequence++
+	w.sequence = q.sequence
 	heap.Push(&q.heap, w)
 }
 
-func (q *queue) first() *Waiter {
+func (q *waitQueue) first() *Waiter {
 	if len(q.heap) == 0 {
 		return nil
 	}
 	return q.heap[0]
 }
 
-func (q *queue) remove(w *Waiter) bool {
-	if w.position < 0 {
+func (q *waitQueue) remove(w *Waiter) bool {
+	if w.index < 0 {
 		return false
 	}
-	heap.Remove(&q.heap, w.position)
+	heap.Remove(&q.heap, w.index)
 	return true
 }
 
-// evict removes the waiter of the least importance below the given one, the latest
-// deadline among equals; it returns nil if there is none.
-func (q *queue) evict(importance int) *Waiter {
+// evict removes the waiter with the lowest importance below the given one, and the latest deadline
+// if several have it. It returns nil if there is none.
+func (q *waitQueue) evict(importance int) *Waiter {
 	var worst *Waiter
 	for _, w := range q.heap {
 		if w.request.Importance >= importance {
 			continue
 		}
-		if worst == nil || worse(w, worst) {
+		if worst == nil || evictBefore(w, worst) {
 			worst = w
 		}
 	}
@@ -73,7 +73,7 @@
 	return worst
 }
 
-func worse(a, b *Waiter) bool {
+func evictBefore(a, b *Waiter) bool {
 	if a.request.Importance != b.request.Importance {
 		return a.request.Importance < b.request.Importance
 	}
@@ -91,29 +91,29 @@
 	if !a.request.Deadline.Equal(b.request.Deadline) {
 		return a.request.Deadline.Before(b.request.Deadline)
 	}
-	return a.order < b.order
+	return a.sequence < b.sequence
 }
 
 func (h waiterHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].position = i
-	h[j].position = j
+	h[i].index = i
+	h[j].index = j
 }
 
-// Push adds a *Waiter; container/heap calls it.
+// Push adds a *Waiter; it implements heap.Interface.
 func (h *waiterHeap) Push(x any) {
 	w := x.(*Waiter)
-	w.position = len(*h)
+	w.index = len(*h)
 	*h = append(*h, w)
 }
 
-// Pop removes the last waiter; container/heap calls it.
+// Pop removes the last waiter; it implements heap.Interface.
 func (h *waiterHeap) Pop() any {
 	old := *h
 	last := len(old) - 1
 	w := old[last]
 	old[last] = nil
 	*h = old[:last]
-	w.position = -1
+	w.index = -1
 	return w
 }
--- a/server/state.go
+++ b/server/state.go
@@ -9,7 +9,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-// The states of a backend server as one entry instance judges it.
+// The states of a backend server as seen by one entry instance.
 const (
 	stateCold    = "cold"
 	stateReady   = "ready"
@@ -17,7 +17,7 @@
 	stateLeaving = "leaving"
 )
 
-// The events that change the judgement.
+// The events that change the state.
 const (
 	eventWarm    = "warm"
 	eventFailed  = "failed"
@@ -26,27 +26,28 @@
 	eventReturn  = "return"
 )
 
-// Limits that a server's state puts on it.
+// Parameters of the limits and estimates of a server.
 const (
-	// warmAnswers is the number of answers after which a cold server is ready.
-	warmAnswers = 20
-	// rampAnswers is the number of answers that widen a cold server's limit by one.
-	rampAnswers = 4
-	// unreportedSlots is the limit of a server that has never reported its slots.
-	unreportedSlots = 4
-	// smoothing is the weight of a new answer time in the moving mean.
-	smoothing = 0.1
-	// reportMeans is for how many mean answer times a report of others' requests is believed.
-	reportMeans = 4
+	// warmUpResponses is the number of responses after which a cold server is ready.
+	warmUpResponses = 20
+	// rampUpResponses is the number of responses that raise a cold server's limit by one.
+	rampUpResponses = 4
+	// defaultSlots is the limit of a server that has never reported its slots.
+	defaultSlots = 4
+	// meanWeight is the weight of a new response time in the moving mean.
+	meanWeight = 0.1
+	// reportAgeFactor is the number of mean response times for which a report of others' requests
+	// is used.
+	reportAgeFactor = 4
 	// Bounds of that time.
 	minReportAge = 20 * time.Millisecond
 	maxReportAge = 2 * time.Second
-	// spillShare is the part of a server's slots by which its believed load may go over
-	// them: reports lag, and a server's own queue takes up the error.
-	spillShare = 0.25
+	// overcommitShare is the part of a server's slots by which its estimated load may exceed them:
+	// load reports lag behind, and the server's own queue absorbs the error.
+	overcommitShare = 0.25
 )
 
-func newMachine() *fsm.FSM {
+func newStateMachine() *fsm.FSM {
 	return fsm.NewFSM(stateCold, fsm.Events{
 		{Name: eventWarm, Src: []string{stateCold}, Dst: stateReady},
 		{Name: eventFailed, Src: []string{stateCold, stateReady}, Dst: stateSuspect},
@@ -56,103 +57,103 @@
 	}, fsm.Callbacks{})
 }
 
-// member is one backend server of a pool.
-type member struct {
+// backend is one backend server of a pool.
+type backend struct {
 	lovageyard.BackendServer
-	machine  *fsm.FSM
-	state    string
-	inFlight int
-	others   int
-	othersAt time.Time
-	mean     time.Duration
-	answers  int
-	slots    int
-	// service is the time on one request that the server itself reports.
-	service time.Duration
+	machine      *fsm.FSM
+	state        string
+	inFlight     int
+	others       int
+	othersAt     time.Time
+	meanDuration time.Duration
+	responses    int
+	slots        int
+	// serviceTime is the mean time per request that the server itself reports.
+	serviceTime time.Duration
 }
 
-func newMember(b lovageyard.BackendServer) *member {
-	m := &member{BackendServer: b, machine: newMachine(), state: stateCold, slots: b.Slots}
-	if m.slots <= 0 {
-		m.slots = unreportedSlots
+func newBackend(b lovageyard.BackendServer) *backend {
+	be := &backend{BackendServer: b, machine: newStateMachine(), state: stateCold, slots: b.Slots}
+	if be.slots <= 0 {
+		be.slots = defaultSlots
 	}
-	return m
+	return be
 }
 
-func (m *member) fire(event string) {
-	if m.machine.Can(event) {
-		_ = m.machine.Event(context.Background(), event)
-		m.state = m.machine.Current()
+func (be *backend) trigger(event string) {
+	if be.machine.Can(event) {
+		_ = be.machine.Event(context.Background(), event)
+		be.state = be.machine.Current()
 	}
 }
 
-func (m *member) takesWork() bool {
-	return m.state == stateCold || m.state == stateReady
+func (be *backend) isAvailable() bool {
+	return be.state == stateCold || be.state == stateReady
 }
 
-// load returns the requests that the server is believed to hold: this instance's
-// own, and those of others as last reported, believed less as the report ages.
-func (m *member) load(now time.Time) float64 {
-	return float64(m.inFlight) + m.othersNow(now)
+// load returns the estimated number of requests at the server: this instance's own, and those of
+// others as last reported, with a weight that decreases with the age of the report.
+func (be *backend) load(now time.Time) float64 {
+	return float64(be.inFlight) + be.decayedOthers(now)
 }
 
-func (m *member) othersNow(now time.Time) float64 {
-	age := now.Sub(m.othersAt)
-	believed := m.reportAge()
-	if m.others <= 0 || age >= believed {
+func (be *backend) decayedOthers(now time.Time) float64 {
+	age := now.Sub(be.othersAt)
+	lifetime := be.reportLifetime()
+	if be.others <= 0 || age >= lifetime {
 		return 0
 	}
-	return float64(m.others) * (1 - float64(age)/float64(believed))
+	return float64(be.others) * (1 - float64(age)/float64(lifetime))
 }
 
-func (m *member) reportAge() time.Duration {
-	if m.mean == 0 {
+func (be *backend) reportLifetime() time.Duration {
+	if be.meanDuration == 0 {
 		return maxReportAge
 	}
-	return min(maxReportAge, max(minReportAge, reportMeans*m.mean))
+	return min(maxReportAge, max(minReportAge, reportAgeFactor*be.meanDuration))
 }
 
-// spill returns how far the believed load may go over the slots.
-func (m *member) spill() float64 {
-	return max(1, spillShare*float64(m.slots))
+// overcommit returns by how much the estimated load may exceed the slots.
+func (be *backend) overcommit() float64 {
+	return max(1, overcommitShare*float64(be.slots))
 }
 
-// limit returns how many requests this instance may have at the server at once.
-func (m *member) limit() int {
-	if m.state != stateCold {
-		return m.slots
+// limit returns how many concurrent requests this instance may have at the server.
+func (be *backend) limit() int {
+	if be.state != stateCold {
+		return be.slots
 	}
-	return min(m.slots, 1+m.answers/rampAnswers)
+	return min(be.slots, 1+be.responses/rampUpResponses)
 }
 
-// learn takes in what one answer taught.
-func (m *member) learn(a lovageyard.Outcome) {
+// applyResponse updates the state with one response.
+func (be *backend) applyResponse(a lovageyard.Outcome) {
 	if a.Reported {
-		m.learnReport(a.At, a.Report)
+		be.applyReport(a.At, a.Report)
 	}
 	if a.Failed {
 		return
 	}
-	m.answers++
-	if m.mean == 0 {
-		m.mean = a.Duration
+	be.responses++
+	if be.meanDuration == 0 {
+		be.meanDuration = a.Duration
 	}
-	m.mean += time.Duration(smoothing * float64(a.Duration-m.mean))
-	if m.answers >= warmAnswers {
-		m.fire(eventWarm)
+	be.meanDuration += time.Duration(meanWeight * float64(a.Duration-be.meanDuration))
+	if be.responses >= warmUpResponses {
+		be.trigger(eventWarm)
 	}
 }
 
-func (m *member) learnReport(at time.Time, r lovageyard.LoadReport) {
+func (be *backend) applyReport(at time.Time, r lovageyard.LoadReport) {
 	if r.Slots > 0 {
-		m.slots = r.Slots
+		be.slots = r.Slots
 	}
 	if r.MeanMs > 0 {
-		m.service = time.Duration(r.MeanMs * float64(time.Millisecond))
+		be.serviceTime = time.Duration(r.MeanMs * float64(time.Millisecond))
 	}
-	m.others = max(0, r.InFlight+r.Queued-m.inFlight)
-	m.othersAt = at
+	be.others = max(0, r.InFlight+r.Queued-be.inFlight)
+	be.othersAt = at
 	if r.Leaving {
-		m.fire(eventLeaving)
+		be.trigger(eventLeaving)
 	}
 }
--- a/transfer/client.go
+++ b/transfer/client.go
@@ -10,31 +10,34 @@
 	"github.com/pkg/errors"
 )
 
-// Timeouts are the times that one exchange may take; a zero means no bound.
+// Timeouts limit the duration of the phases of an exchange; zero means no limit.
 type Timeouts struct {
-	// ResponseHeader is the time from the last byte sent to the answer's headers.
+	// ResponseHeader is the time from the last byte sent to the response headers. It also limits
+	// pauses while the request is sent.
 	ResponseHeader time.Duration
-	// Idle is the time without a byte of a body.
+	// Idle is the time without any byte of the response body.
 	Idle time.Duration
-	// Total is the time of the whole exchange, however well it goes on.
+	// Total is the time of the whole exchange, even if it makes progress.
 	Total time.Duration
 }
 
-// Client sends requests within bounds.
+// Client sends requests with HTTP and aborts them when one of the timeouts expires. It is safe for
+// concurrent use.
 type Client struct {
 	HTTP     *http.Client
 	Timeouts Timeouts
 }
 
-// TimeoutError is the end of an exchange that exceeded one of its bounds.
+// TimeoutError is the error of an exchange that was aborted by ResponseHeader or Idle. It
+// implements net.Error's Timeout.
 type TimeoutError struct {
-	// Limit is the time that was exceeded.
+	// Limit is the timeout that expired.
 	Limit time.Duration
-	// Received is the number of bytes of the answer's body that had come by then.
+	// Received is the number of bytes of the response body that had been read by then.
 	Received int64
 }
 
-// Error says what was exceeded.
+// Error returns the message with the limit and the number of bytes received.
 func (e *TimeoutError) Error() string {
 	return errors.Errorf("no progress for %s, after %d bytes of the answer", e.Limit, e.Received).Error()
 }
@@ -42,110 +45,111 @@
 // Timeout returns true; see net.Error.
 func (e *TimeoutError) Timeout() bool { return true }
 
-// Do sends a request and returns the answer once its headers have come; the bounds hold until
-// its body is closed. It returns a TimeoutError, as reads of the body do, if one is exceeded.
+// Do sends a request and returns the response once its headers are read. The timeouts apply until
+// the response body is closed. If ResponseHeader or Idle expires, Do and reads of the body return a
+// *TimeoutError.
 func (c Client) Do(r *http.Request) (*http.Response, error) {
-	ctx, cancel := context.WithTimeout(r.Context(), span(c.Timeouts.Total))
-	w := newWatch(cancel, c.Timeouts.ResponseHeader)
+	ctx, cancel := context.WithTimeout(r.Context(), timeoutOrMax(c.Timeouts.Total))
+	w := newWatchdog(cancel, c.Timeouts.ResponseHeader)
 	request := r.WithContext(ctx)
 	if r.Body != nil && r.Body != http.NoBody {
-		request.Body = &body{ReadCloser: r.Body, watch: w, bound: c.Timeouts.ResponseHeader}
+		request.Body = &progressReader{ReadCloser: r.Body, watchdog: w, timeout: c.Timeouts.ResponseHeader}
 	}
 	response, err := c.HTTP.Do(request)
 	if err != nil {
 		w.stop()
 		cancel()
-		return nil, w.explain(err)
+		return nil, w.timeoutError(err)
 	}
-	w.progress(c.Timeouts.Idle, 0)
-	response.Body = &answer{body: body{ReadCloser: response.Body, watch: w, bound: c.Timeouts.Idle}, cancel: cancel}
+	w.recordProgress(c.Timeouts.Idle, 0)
+	response.Body = &responseBody{progressReader: progressReader{ReadCloser: response.Body, watchdog: w, timeout: c.Timeouts.Idle}, cancel: cancel}
 	return response, nil
 }
 
-// watch cancels an exchange that makes no progress.
-type watch struct {
+// watchdog cancels an exchange that makes no progress.
+type watchdog struct {
 	timer    *time.Timer
 	expired  atomic.Bool
-	bound    atomic.Int64
+	limit    atomic.Int64
 	received atomic.Int64
 }
 
-func newWatch(cancel context.CancelFunc, bound time.Duration) *watch {
-	w := &watch{}
-	w.bound.Store(int64(bound))
-	w.timer = time.AfterFunc(span(bound), func() {
+func newWatchdog(cancel context.CancelFunc, timeout time.Duration) *watchdog {
+	w := &watchdog{}
+	w.limit.Store(int64(timeout))
+	w.timer = time.AfterFunc(timeoutOrMax(timeout), func() {
 		w.expired.Store(true)
 		cancel()
 	})
 	return w
 }
 
-// noBound stands for a bound of zero.
-const noBound = 24 * time.Hour
+// maxTimeout is used in place of a timeout of zero.
+const maxTimeout = 24 * time.Hour
 
-func span(bound time.Duration) time.Duration {
-	if bound == 0 {
-		return noBound
+func timeoutOrMax(timeout time.Duration) time.Duration {
+	if timeout == 0 {
+		return maxTimeout
 	}
-	return bound
+	return timeout
 }
 
-// progress begins the time without a byte anew.
-func (w *watch) progress(bound time.Duration, received int) {
+// recordProgress restarts the timer.
+func (w *watchdog) recordProgress(timeout time.Duration, received int) {
 	w.received.Add(int64(received))
-	w.bound.Store(int64(bound))
+	w.limit.Store(int64(timeout))
 	if !w.expired.Load() {
-		w.timer.Reset(span(bound))
+		w.timer.Reset(timeoutOrMax(timeout))
 	}
 }
 
-func (w *watch) stop() {
+func (w *watchdog) stop() {
 	w.timer.Stop()
 }
 
-// explain returns the reason of an error that the watch caused.
-func (w *watch) explain(err error) error {
+// timeoutError returns a *TimeoutError in place of an error that the watchdog caused.
+func (w *watchdog) timeoutError(err error) error {
 	if err == nil || err == io.EOF || !w.expired.Load() {
 		return err
 	}
-	return &TimeoutError{Limit: time.Duration(w.bound.Load()), Received: w.received.Load()}
+	return &TimeoutError{Limit: time.Duration(w.limit.Load()), Received: w.received.Load()}
 }
 
-// body notes each byte that goes through it as progress.
-type body struct {
+// progressReader restarts the watchdog's timer after each read of a request body.
+type progressReader struct {
 	io.ReadCloser
-	watch *watch
-	bound time.Duration
+	watchdog *watchdog
+	timeout  time.Duration
 }
 
-// Read reads on.
-func (b *body) Read(p []byte) (int, error) {
+// Read reads from the underlying body.
+func (b *progressReader) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if n > 0 {
-		b.watch.progress(b.bound, 0)
+		b.watchdog.recordProgress(b.timeout, 0)
 	}
 	return n, err
 }
 
-// answer is the body of an answer.
-type answer struct {
-	body
+// responseBody is the body of a response; each read of it restarts the watchdog's timer.
+type responseBody struct {
+	progressReader
 	cancel context.CancelFunc
 }
 
-// Read reads on, or says why the exchange was given up.
-func (a *answer) Read(p []byte) (int, error) {
-	n, err := a.ReadCloser.Read(p)
+// Read reads from the underlying body, or returns a *TimeoutError if the exchange was aborted.
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.ReadCloser.Read(p)
 	if n > 0 {
-		a.watch.progress(a.bound, n)
+		b.watchdog.recordProgress(b.timeout, n)
 	}
-	return n, a.watch.explain(err)
+	return n, b.watchdog.timeoutError(err)
 }
 
-// Close ends the exchange.
-func (a *answer) Close() error {
-	err := a.ReadCloser.Close()
-	a.watch.stop()
-	a.cancel()
+// Close closes the body and stops the watchdog.
+func (b *responseBody) Close() error {
+	err := b.ReadCloser.Close()
+	b.watchdog.stop()
+	b.cancel()
 	return err
 }
--- a/transfer/client_test.go
+++ b/transfer/client_test.go
@@ -15,13 +15,13 @@
 	"lovageyard.example/lovageyard/transfer"
 )
 
-// short and long are a bound that a test means to exceed and one that it does not.
+// short is a timeout that a test expects to expire, and long one that it does not.
 const (
 	short = 200 * time.Millisecond
 	long  = time.Minute
 )
 
-// serve answers with a handler until the test ends.
+// serve runs a test server with a handler until the test ends and returns its URL.
 func serve(c *qt.C, h http.HandlerFunc) string {
 	server := httptest.NewServer(h)
 	c.Cleanup(func() {
@@ -37,16 +37,16 @@
 	return client.Do(request)
 }
 
-// assertTimeout asserts that an exchange was given up for time, with the bytes received by then.
+// assertTimeout asserts that an exchange was aborted by a timeout after the given number of bytes.
 func assertTimeout(c *qt.C, err error, received int64) {
 	c.Helper()
-	var exceeded *transfer.TimeoutError
-	c.Assert(errors.As(err, &exceeded), qt.IsTrue, qt.Commentf("%v", err))
-	c.Assert(exceeded.Received, qt.Equals, received)
-	c.Assert(exceeded.Timeout(), qt.IsTrue)
+	var timeout *transfer.TimeoutError
+	c.Assert(errors.As(err, &timeout), qt.IsTrue, qt.Commentf("%v", err))
+	c.Assert(timeout.Received, qt.Equals, received)
+	c.Assert(timeout.Timeout(), qt.IsTrue)
 }
 
-func TestAnswerThatDoesNotBeginIsGivenUp(t *testing.T) {
+func TestResponseHeaderTimeout(t *testing.T) {
 	c := qt.New(t)
 	url := serve(c, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	client := transfer.Client{HTTP: http.DefaultClient, Timeouts: transfer.Timeouts{ResponseHeader: short, Idle: long, Total: long}}
@@ -54,7 +54,7 @@
 	assertTimeout(c, err, 0)
 }
 
-func TestBodyThatStallsIsGivenUp(t *testing.T) {
+func TestIdleTimeoutInBody(t *testing.T) {
 	c := qt.New(t)
 	url := serve(c, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte("some"))
@@ -70,7 +70,7 @@
 	assertTimeout(c, err, 4)
 }
 
-func TestExchangeThatGoesOnForTooLongIsGivenUp(t *testing.T) {
+func TestTotalTimeout(t *testing.T) {
 	c := qt.New(t)
 	url := serve(c, func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
@@ -87,8 +87,9 @@
 	c.Assert(errors.Is(err, context.DeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// The time until the answer begins counts from the last byte sent.
-func TestLongRequestIsSentAsLongAsItGoes(t *testing.T) {
+// The timeout for the response headers starts with the last byte sent, so a long request must not
+// expire while it makes progress.
+func TestLongRequestWithProgressIsSent(t *testing.T) {
 	c := qt.New(t)
 	url := serve(c, func(w http.ResponseWriter, r *http.Request) {
 		sent, err := io.ReadAll(r.Body)
@@ -97,7 +98,7 @@
 	})
 	client := transfer.Client{HTTP: http.DefaultClient, Timeouts: transfer.Timeouts{ResponseHeader: 10 * short, Idle: long, Total: long}}
 	content := bytes.Repeat([]byte("x"), 30)
-	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, &slow{content: content})
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, &slowReader{content: content})
 	c.Assert(err, qt.IsNil)
 	response, err := client.Do(request)
 	c.Assert(err, qt.IsNil)
@@ -107,10 +108,10 @@
 	c.Assert(received, qt.DeepEquals, content)
 }
 
-// slow gives one byte at a time.
-type slow struct{ content []byte }
+// slowReader returns one byte at a time.
+type slowReader struct{ content []byte }
 
-func (s *slow) Read(p []byte) (int, error) {
+func (s *slowReader) Read(p []byte) (int, error) {
 	if len(s.content) == 0 {
 		return 0, io.EOF
 	}
@@ -120,8 +121,8 @@
 	return n, nil
 }
 
-// The time without a byte begins with the answer's headers, not with the first byte of its body.
-func TestBodyThatDoesNotBeginIsGivenUp(t *testing.T) {
+// The idle timeout must start with the response headers, not with the first byte of the body.
+func TestIdleTimeoutBeforeBody(t *testing.T) {
 	c := qt.New(t)
 	url := serve(c, func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).Flush()
--- a/transfer/doc.go
+++ b/transfer/doc.go
@@ -1,3 +1,4 @@
-// Package transfer bounds HTTP exchanges by their progress instead of their length, so that a
-// large body on a slow link arrives, and a silent peer is given up as soon as before.
+// Package transfer limits HTTP exchanges by their progress instead of their total duration. A large
+// body on a slow link is transferred completely, and an unresponsive peer is still detected
+// quickly.
 package transfer
