--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -180,7 +180,7 @@
 // over time, and none is sent soon after the limit was first reported: otherwise instances that
 // restart repeatedly would each send one after every restart.
 func (r *Record) nextProbe(now time.Time) time.Time {
-	phase := float64(instance.Mix(xxhash.Sum64String(r.self)^xxhash.Sum64String(r.server))>>11) / (1 << 53)
+	phase := float64(instance.MixHash(xxhash.Sum64String(r.self)^xxhash.Sum64String(r.server))>>11) / (1 << 53)
 	since := now.Sub(r.limitedSince) - time.Duration((0.5+phase)*float64(r.probeInterval))
 	if since < 0 {
 		return now.Add(-since)
--- a/control/control.go
+++ b/control/control.go
@@ -63,13 +63,13 @@
 	Logger    *logrus.Logger
 	Metrics   metrics.Registry
 	// SeedPeers are addresses of peers to ask when the platform can't be reached.
-	SeedPeers []string
-	KeepFor   time.Duration
-	Headroom  float64
-	Pool      server.Settings
-	Latencies placement.Latencies
-	LeaseSpan time.Duration
-	Seed      uint64
+	SeedPeers     []string
+	KeepFor       time.Duration
+	Headroom      float64
+	Pool          server.Settings
+	Latencies     placement.Latencies
+	LeaseDuration time.Duration
+	Seed          uint64
 }
 
 // Control runs the control loop of one entry instance.
@@ -138,7 +138,7 @@
 func (c *Control) Start() {
 	ticks := c.settings.Timer.Subscribe(tickEvery)
 	steps := c.settings.Timer.Subscribe(stepEvery)
-	c.inbox.Own(func() { c.run(ticks, steps) })
+	c.inbox.Start(func() { c.run(ticks, steps) })
 }
 
 // Close ends the loop and waits for it and for all calls that it began.
@@ -187,7 +187,7 @@
 	c.self.Heartbeat++
 	c.self.Version = c.config.Version()
 	c.self.Steps = c.steps()
-	c.members.Hear(c.self, now)
+	c.members.Observe(c.self, now)
 	if c.members.Tick(now) {
 		c.dirty = true
 	}
@@ -236,7 +236,7 @@
 	c.self.State = lovageyard.StateLeaving
 	c.self.Heartbeat++
 	now := c.settings.Timer.Now()
-	c.members.Hear(c.self, now)
+	c.members.Observe(c.self, now)
 	c.dirty = true
 	c.exchangeAll(now)
 }
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -78,7 +78,7 @@
 
 // rendezvousScore returns the score of the server for an object; the highest score ranks first.
 func (s *server) rendezvousScore(object uint64) uint64 {
-	return instance.Mix(object ^ s.hash)
+	return instance.MixHash(object ^ s.hash)
 }
 
 // unitScore returns the score of the server for an object, scaled to the range 0 to 1.
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -363,5 +363,5 @@
 	if key == "" {
 		return 0
 	}
-	return instance.Mix(xxhash.Sum64String(route.Name) ^ xxhash.Sum64String(key))
+	return instance.MixHash(xxhash.Sum64String(route.Name) ^ xxhash.Sum64String(key))
 }
--- a/grant/divide.go
+++ b/grant/divide.go
@@ -79,7 +79,7 @@
 // would accumulate and be spent by many instances in the same second. The other instances get 0.
 func ShareOf(rate float64, names []string, key, self string) float64 {
 	count := min(len(names), 1+int(min(rate, float64(len(names)))))
-	if position := instance.Place(names, key, self); position < 0 || position >= count {
+	if position := instance.RendezvousRank(names, key, self); position < 0 || position >= count {
 		return 0
 	}
 	return rate / float64(count)
--- a/link/link.go
+++ b/link/link.go
@@ -169,9 +169,9 @@
 	return nil, failure
 }
 
-// HasEnded reports whether a server's port refuses connections. If a connection is accepted, it is
+// RefusesConnections reports whether a server's port refuses connections. If a connection is accepted, it is
 // kept for the next request.
-func (t *Transport) HasEnded(ctx context.Context, server lovageyard.BackendServer) bool {
+func (t *Transport) RefusesConnections(ctx context.Context, server lovageyard.BackendServer) bool {
 	c, err := t.open(ctx, server.Address)
 	if err != nil {
 		return isRefused(err)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -412,12 +412,12 @@
 	b := newScriptedServer(c, answer("1", "one"))
 	l := newTransport(c)
 	described := lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()}
-	c.Assert(l.HasEnded(context.Background(), described), qt.IsFalse)
+	c.Assert(l.RefusesConnections(context.Background(), described), qt.IsFalse)
 	// The connection of the probe carries the next request.
 	_, err := send(c, l, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	_, conns := b.received()
 	c.Assert(conns, qt.Equals, 1)
 	b.listener.Close()
-	c.Assert(l.HasEnded(context.Background(), described), qt.IsTrue)
+	c.Assert(l.RefusesConnections(context.Background(), described), qt.IsTrue)
 }
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -51,7 +51,7 @@
 	link      *link.Transport
 	platform  *platform.Store
 	peers     *peer.Client
-	charges   *charge.Book
+	charges   *charge.Store
 	callers   *http.Server
 	peering   *http.Server
 	operators *http.Server
@@ -140,26 +140,26 @@
 	registry := metrics.NewRegistry()
 	recorder := decision.NewLog(logger)
 	d.control = control.New(control.Settings{
-		Self:      self,
-		Table:     d.platform,
-		Objects:   d.platform,
-		Instances: d.platform,
-		Backend:   d.link,
-		Peers:     d.peers,
-		Timer:     clock,
-		Recorder:  recorder,
-		Logger:    logger,
-		Metrics:   registry,
-		SeedPeers: o.PeerAddresses,
-		KeepFor:   o.KeepFor,
-		Headroom:  o.Headroom,
-		Pool:      server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
-		Latencies: placement.Latencies{SameRegion: o.SameRegionDelay, Else: o.OtherRegionDelay},
-		LeaseSpan: o.LeaseSpan,
-		Seed:      uint64(self.Incarnation),
+		Self:          self,
+		Table:         d.platform,
+		Objects:       d.platform,
+		Instances:     d.platform,
+		Backend:       d.link,
+		Peers:         d.peers,
+		Timer:         clock,
+		Recorder:      recorder,
+		Logger:        logger,
+		Metrics:       registry,
+		SeedPeers:     o.PeerAddresses,
+		KeepFor:       o.KeepFor,
+		Headroom:      o.Headroom,
+		Pool:          server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
+		Latencies:     placement.Latencies{SameRegion: o.SameRegionDelay, OtherRegion: o.OtherRegionDelay},
+		LeaseDuration: o.LeaseSpan,
+		Seed:          uint64(self.Incarnation),
 	})
-	d.charges = charge.NewBook(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
-	handler := caller.NewHandler(caller.Parts{
+	d.charges = charge.NewStore(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
+	handler := caller.NewHandler(caller.Settings{
 		Source:   d.control,
 		Watcher:  d.control,
 		Charges:  d.charges,
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -62,7 +62,7 @@
 	peers    *peer.Client
 	link     *link.Transport
 	dispatch *dispatch.Table
-	watch    *quarantine.Watch
+	watch    *quarantine.Monitor
 	control  *fleet.Control
 	limiter  *quota.Limiter
 	callers  *http.Server
@@ -156,16 +156,16 @@
 		Bounds:        o.bounds(),
 		Seed:          uint64(self.Incarnation),
 	})
-	notices := &entry.Notices{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
+	notices := &entry.NoticeObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
 	e.link = link.New(platform.Headers{}, e.timer, notices)
-	e.watch = quarantine.NewWatch(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
+	e.watch = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
 	e.control = fleet.New(fleet.Settings{
 		Self:       self,
 		Feed:       e.store,
 		Registrar:  e.store,
 		Decoder:    platform.Decoder{Regions: o.Regions},
 		Peers:      e.peers,
-		Follower:   e.dispatch,
+		Observer:   e.dispatch,
 		Quarantine: e.watch,
 		Timer:      e.timer,
 		Logger:     e.logger,
@@ -173,7 +173,7 @@
 		Seeds:      o.PeerAddresses,
 		Seed:       uint64(self.Incarnation),
 
-		ConfirmWithin: o.RevokeWithin,
+		MaxConfirmationAge: o.RevokeWithin,
 	})
 	e.limiter = quota.NewLimiter(quota.Settings{
 		Self:    o.Instance,
@@ -229,7 +229,7 @@
 // serveAll begins to serve on all sockets.
 func (e *edge) serveAll(s *edgeSockets) {
 	o := e.options
-	e.callers = edgeServer(entry.NewHandler(entry.Parts{
+	e.callers = edgeServer(entry.NewHandler(entry.Settings{
 		Source:     e.control,
 		Codec:      platform.Headers{},
 		Sender:     e.link,
@@ -292,17 +292,17 @@
 	}
 	census := e.dispatch.Stats(now)
 	dropped := e.sink.Dropped()
-	e.meters.Update(meter.Connections, e.link.Opened())
+	e.meters.Update(meter.ConnectionsOpened, e.link.Opened())
 	e.meters.Update(meter.ServersKnown, int64(census.Servers))
 	e.meters.Update(meter.ServersSuspect, int64(census.Suspects))
 	e.meters.Update(meter.ServersLimited, int64(census.Limited))
 	e.meters.Update(meter.ServersLeaving, int64(census.Leaving))
 	e.meters.Update(meter.ServersBackingOff, int64(census.BackingOff))
 	e.meters.Update(meter.InFlight, int64(census.InFlight))
-	e.meters.Update(meter.ConfigurationNow, int64(view.Version()))
+	e.meters.Update(meter.ConfigurationVersion, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
-	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.KnowledgeAge()))
-	e.meters.Update(meter.LimitsTight, int64(e.limiter.Tight()))
+	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfirmationAge()))
+	e.meters.Update(meter.AccountsNearLimit, int64(e.limiter.MeteredCount()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
 	e.meters.Update(meter.LogDroppedOther, dropped.Other)
@@ -333,7 +333,7 @@
 	endsAt := began.Add(time.Duration(closeAfter * float64(e.options.LeaveWithin)))
 	e.control.Leave(endsAt)
 	e.wait(time.Duration(refuseAfter * float64(e.options.LeaveWithin)))
-	e.control.Refuse()
+	e.control.RefuseRequests()
 	bound, cancel := context.WithTimeout(context.Background(), endsAt.Sub(e.timer.Now()))
 	defer cancel()
 	if err := e.callers.Shutdown(bound); err != nil {
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -7,111 +7,113 @@
 	"time"
 )
 
-// Evidence that a request needs against it.
+// Numbers of crashes from which on a request is quarantined.
 const (
-	// enough is how many servers must have ended while they had a request until it is held: what
-	// operators allow one request to cost them.
-	enough = 3
-	// certain is the number at which it is held even if another request was at all the same
-	// servers. Until then such two are sent to different servers, which shows soon
-	// which of them is the cause.
-	certain = 5
+	// quarantineThreshold is the number of crashes at which a request is quarantined. Operators accept the
+	// loss of this many servers to a single request.
+	quarantineThreshold = 3
+	// ambiguityLimit is the number of crashes at which a request is quarantined even if another request was in
+	// flight at the same crashes. Below it, such requests are sent to different servers, so that the next
+	// crash or success shows which of them is the cause.
+	ambiguityLimit = 5
 )
 
-// Judgement is what is thought of a request.
-type Judgement struct {
-	// Suspect says that the request was at a server that ended, for no reason that is known.
+// Decision is the result of evaluating a request.
+type Decision struct {
+	// Suspect reports whether the request was in flight at a crash that is not attributed to a quarantined
+	// request.
 	Suspect bool
-	// Held says that the request ends servers and is refused, until Until.
-	Held  bool
-	Until time.Time
+	// Quarantined reports whether the request is to be rejected until Until because it crashes servers.
+	Quarantined bool
+	Until       time.Time
 }
 
-// Hold is a request that is held.
-type Hold struct {
+// QuarantinedRequest is a request that is rejected because it crashes servers.
+type QuarantinedRequest struct {
 	Request uint64
-	// Servers are the names of the servers that ended under it.
+	// Servers are the names of the servers that crashed with the request in flight.
 	Servers []string
 	Until   time.Time
 }
 
-// judgements are what follows from all crashes.
-type judgements struct {
-	// counts is in how many crashes a request was since it was last answered well.
-	counts   map[uint64]int
-	held     map[uint64]Hold
-	suspects map[uint64]bool
+// decisions is the result of evaluating all known crashes.
+type decisions struct {
+	// counts is the number of crashes at which each request was in flight since it last succeeded.
+	counts      map[uint64]int
+	quarantined map[uint64]QuarantinedRequest
+	suspects    map[uint64]bool
 }
 
-func newJudgements() judgements {
-	return judgements{counts: make(map[uint64]int), held: make(map[uint64]Hold), suspects: make(map[uint64]bool)}
+func newDecisions() decisions {
+	return decisions{counts: make(map[uint64]int), quarantined: make(map[uint64]QuarantinedRequest), suspects: make(map[uint64]bool)}
 }
 
-// judge works out anew what is thought of all requests. The request that was at most of the servers
-// that ended goes first; what it explains does not count against any other, as one cause is
-// enough for an end.
-func (t *Table) judge(now time.Time) {
+// evaluate recomputes the decisions for all requests. It repeatedly quarantines the request with the most
+// unattributed crashes and attributes those crashes to it. As one cause is enough for a crash, an attributed
+// crash does not count against any other request.
+func (t *Table) evaluate(now time.Time) {
 	e := t.evidence()
-	t.judged = newJudgements()
-	for request, servers := range e.of {
-		t.judged.counts[request] = len(servers)
+	t.decisions = newDecisions()
+	for request, servers := range e.crashesOf {
+		t.decisions.counts[request] = len(servers)
 	}
 	for {
-		request, found := e.culprit()
+		request, found := e.nextSuspect()
 		if !found {
 			break
 		}
-		t.judged.held[request] = t.hold(request, e.of[request], now)
-		e.explain(request)
+		t.decisions.quarantined[request] = t.quarantine(request, e.crashesOf[request], now)
+		e.attribute(request)
 	}
-	for request := range e.of {
-		if _, held := t.judged.held[request]; !held && e.open(request) > 0 {
-			t.judged.suspects[request] = true
+	for request := range e.crashesOf {
+		if _, quarantined := t.decisions.quarantined[request]; !quarantined && e.countUnattributed(request) > 0 {
+			t.decisions.suspects[request] = true
 		}
 	}
 }
 
-// hold returns how a request is held: as long as enough crashes under it are remembered.
-func (t *Table) hold(request uint64, servers []Server, now time.Time) Hold {
+// quarantine returns the entry of a request in quarantine. It expires when fewer than quarantineThreshold of
+// its crashes are retained.
+func (t *Table) quarantine(request uint64, servers []Server, now time.Time) QuarantinedRequest {
 	var names []string
-	var ends []time.Time
+	var expiries []time.Time
 	for _, s := range servers {
 		names = append(names, s.Name)
-		ends = append(ends, t.crashes[s].at.Add(memory))
+		expiries = append(expiries, t.crashes[s].at.Add(repeatedRetention))
 	}
-	slices.SortFunc(ends, func(a, b time.Time) int { return b.Compare(a) })
+	slices.SortFunc(expiries, func(a, b time.Time) int { return b.Compare(a) })
 	until := now
-	if len(ends) >= enough {
-		until = ends[enough-1]
+	if len(expiries) >= quarantineThreshold {
+		until = expiries[quarantineThreshold-1]
 	}
-	return Hold{Request: request, Servers: names, Until: until}
+	return QuarantinedRequest{Request: request, Servers: names, Until: until}
 }
 
-// evidence is which requests were at which servers that ended.
+// evidence holds the confirmed crashes together with the requests that were in flight.
 type evidence struct {
-	// of has the servers of each request in the order of their ends.
-	of        map[uint64][]Server
-	crashes   map[Server]*crash
-	at        map[Server][]uint64
-	explained map[Server]bool
+	// crashesOf holds the servers that crashed with each request in flight, ordered by the time of the crash.
+	crashesOf  map[uint64][]Server
+	crashes    map[Server]*crash
+	requestsAt map[Server][]uint64
+	attributed map[Server]bool
 }
 
-// evidence returns what counts: a request that was answered well since is none of it.
+// evidence collects the confirmed crashes, without the requests that have succeeded since.
 func (t *Table) evidence() *evidence {
-	e := &evidence{of: make(map[uint64][]Server), crashes: t.crashes, at: make(map[Server][]uint64), explained: make(map[Server]bool)}
+	e := &evidence{crashesOf: make(map[uint64][]Server), crashes: t.crashes, requestsAt: make(map[Server][]uint64), attributed: make(map[Server]bool)}
 	for server, c := range t.crashes {
-		if !c.ended {
+		if !c.confirmed {
 			continue
 		}
 		for request := range c.sentAt {
 			if t.isCleared(c, request) {
 				continue
 			}
-			e.of[request] = append(e.of[request], server)
-			e.at[server] = append(e.at[server], request)
+			e.crashesOf[request] = append(e.crashesOf[request], server)
+			e.requestsAt[server] = append(e.requestsAt[server], request)
 		}
 	}
-	for _, servers := range e.of {
+	for _, servers := range e.crashesOf {
 		slices.SortFunc(servers, func(a, b Server) int {
 			return cmp.Or(t.crashes[a].at.Compare(t.crashes[b].at), cmp.Compare(a.hash(), b.hash()))
 		})
@@ -119,60 +121,61 @@
 	return e
 }
 
-// open returns how many ends a request was at that no held request explains, each after it was sent on
-// from the one before. Servers that end together have a common cause, and a request that its
-// client sent again and again may be at all of them.
-func (e *evidence) open(request uint64) int {
-	n := 0
-	var last time.Time
-	for _, server := range e.of[request] {
+// countUnattributed returns the number of crashes at which a request was in flight and that are not attributed
+// to a quarantined request. A crash counts only if the request was sent to its server after the previous
+// counted crash: servers that crash together have a common cause, and a request that its client has retried
+// may have been in flight on all of them.
+func (e *evidence) countUnattributed(request uint64) int {
+	count := 0
+	var lastCrash time.Time
+	for _, server := range e.crashesOf[request] {
 		c := e.crashes[server]
-		if e.explained[server] || n > 0 && c.sentAt[request].Before(last) {
+		if e.attributed[server] || count > 0 && c.sentAt[request].Before(lastCrash) {
 			continue
 		}
-		n++
-		last = c.at
+		count++
+		lastCrash = c.at
 	}
-	return n
+	return count
 }
 
-// explain notes that a request is the cause of all ends that it was at.
-func (e *evidence) explain(request uint64) {
-	for _, server := range e.of[request] {
-		e.explained[server] = true
+// attribute attributes to a request all crashes at which it was in flight.
+func (e *evidence) attribute(request uint64) {
+	for _, server := range e.crashesOf[request] {
+		e.attributed[server] = true
 	}
 }
 
-// culprit returns the next request to hold, if there is one.
-func (e *evidence) culprit() (uint64, bool) {
-	best := enough
-	var first []uint64
-	for _, request := range slices.Sorted(maps.Keys(e.of)) {
-		n := e.open(request)
-		if n > best {
-			best, first = n, nil
+// nextSuspect returns the next request to quarantine, if there is one.
+func (e *evidence) nextSuspect() (uint64, bool) {
+	highest := quarantineThreshold
+	var candidates []uint64
+	for _, request := range slices.Sorted(maps.Keys(e.crashesOf)) {
+		count := e.countUnattributed(request)
+		if count > highest {
+			highest, candidates = count, nil
 		}
-		if n == best {
-			first = append(first, request)
+		if count == highest {
+			candidates = append(candidates, request)
 		}
 	}
-	for _, request := range first {
-		if best >= certain || !e.hasRival(request, best) {
+	for _, request := range candidates {
+		if highest >= ambiguityLimit || !e.isAmbiguous(request, highest) {
 			return request, true
 		}
 	}
 	return 0, false
 }
 
-// hasRival says whether another request explains as many ends, one of them the same: then
-// either may be the cause.
-func (e *evidence) hasRival(request uint64, count int) bool {
-	for _, server := range e.of[request] {
-		if e.explained[server] {
+// isAmbiguous reports whether another request has the same number of unattributed crashes and shares at least
+// one of them. Either of the two may be the cause then.
+func (e *evidence) isAmbiguous(request uint64, count int) bool {
+	for _, server := range e.crashesOf[request] {
+		if e.attributed[server] {
 			continue
 		}
-		for _, other := range e.at[server] {
-			if other != request && e.open(other) == count {
+		for _, other := range e.requestsAt[server] {
+			if other != request && e.countUnattributed(other) == count {
 				return true
 			}
 		}
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -11,23 +11,23 @@
 	"lovageyard.example/lovageyard/meter"
 )
 
-// Probes and lines.
+// Bounds of probes and log lines.
 const (
-	// probeTimes is how often a server that broke off is asked whether it has ended, and probeEvery the
-	// pause between: its connections may be closed a moment before its port is.
-	probeTimes = 2
-	probeEvery = 200 * time.Millisecond
-	// maxShown bounds the fingerprints that a line names.
-	maxShown = 16
+	// probeAttempts is how often a server that closed connections is probed, and probeInterval the time
+	// between two probes: a crashing server may close its connections shortly before its listening port.
+	probeAttempts = 2
+	probeInterval = 200 * time.Millisecond
+	// maxLogged bounds the number of fingerprints in a log line.
+	maxLogged = 16
 )
 
-// Prober finds out whether backend servers have ended.
+// Prober checks whether backend servers are down.
 type Prober interface {
-	// HasEnded says whether a server's port refuses connections.
-	HasEnded(ctx context.Context, server lovageyard.BackendServer) bool
+	// RefusesConnections reports whether the server's port refuses connections.
+	RefusesConnections(ctx context.Context, server lovageyard.BackendServer) bool
 }
 
-// Settings are what a Watch is made of.
+// Settings are the dependencies of a Monitor; all of them are required.
 type Settings struct {
 	Prober  Prober
 	Timer   lovageyard.Timer
@@ -35,184 +35,188 @@
 	Metrics *meter.Set
 }
 
-// Watch keeps a Table by what attempts at requests show, and by what other instances tell.
-type Watch struct {
+// Monitor feeds a Table with the outcomes of attempts at this instance and with the reports of other
+// instances. It is safe for concurrent use.
+type Monitor struct {
 	settings Settings
 	table    *Table
-	news     chan struct{}
+	updates  chan struct{}
 	context  context.Context
 	cancel   context.CancelFunc
 	probes   sync.WaitGroup
 
 	mu      sync.Mutex
 	probing map[Server]bool
-	// shown holds the requests whose hold has been logged, and found those that are held by what was
-	// seen here and have not been asked for.
-	shown map[uint64]bool
-	found []uint64
+	// logged holds the quarantined requests that have been logged, and newlyQuarantined those that were
+	// quarantined by observations of this instance since the last call of NewlyQuarantined.
+	logged           map[uint64]bool
+	newlyQuarantined []uint64
 }
 
-// NewWatch returns a Watch that has seen nothing.
-func NewWatch(s Settings) *Watch {
-	w := &Watch{
+// NewMonitor returns a Monitor with an empty Table. Close releases its resources.
+func NewMonitor(s Settings) *Monitor {
+	w := &Monitor{
 		settings: s,
 		table:    NewTable(),
-		news:     make(chan struct{}, 1),
+		updates:  make(chan struct{}, 1),
 		probing:  make(map[Server]bool),
-		shown:    make(map[uint64]bool),
+		logged:   make(map[uint64]bool),
 	}
 	w.context, w.cancel = context.WithCancel(context.Background())
 	return w
 }
 
-// Close gives up all probes and waits for their end.
-func (w *Watch) Close() {
-	// Under the lock no probe begins any more once the context has ended.
+// Close cancels all probes and waits until they have returned.
+func (w *Monitor) Close() {
+	// The lock ensures that no probe starts after the context is cancelled.
 	w.mu.Lock()
 	w.cancel()
 	w.mu.Unlock()
 	w.probes.Wait()
 }
 
-// News delivers once this instance has seen something itself that others should know.
-func (w *Watch) News() <-chan struct{} {
-	return w.news
+// Updates returns a channel that receives a value once this instance has observed something that should be
+// reported to others.
+func (w *Monitor) Updates() <-chan struct{} {
+	return w.updates
 }
 
-// Judge returns what is thought of a request.
-func (w *Watch) Judge(request uint64) Judgement {
-	return w.table.Judge(request, w.settings.Timer.Now())
+// Evaluate returns the current decision on a request.
+func (w *Monitor) Evaluate(request uint64) Decision {
+	return w.table.Evaluate(request, w.settings.Timer.Now())
 }
 
-// Lost notes that a server broke off a request that was sent to it at a time. Only if the server has ended
-// is that anything against the request: answers get lost as well, and connections are reset.
-func (w *Watch) Lost(server lovageyard.BackendServer, request uint64, sentAt time.Time) {
-	open, news := w.table.Lose(lifeOf(server), request, sentAt, w.settings.Timer.Now())
-	if open {
+// RecordLoss records that a server closed the connection of a request that was sent to it at sentAt. That
+// counts against the request only once the server is confirmed to have crashed, as answers get lost and
+// connections are reset for other reasons, too.
+func (w *Monitor) RecordLoss(server lovageyard.BackendServer, request uint64, sentAt time.Time) {
+	unconfirmed, changed := w.table.RecordLoss(incarnationOf(server), request, sentAt, w.settings.Timer.Now())
+	if unconfirmed {
 		w.probe(server)
 	}
-	if news {
-		w.tell()
+	if changed {
+		w.notify()
 	}
 }
 
-// Ended notes that a server's port refuses connections, or that another server has it.
-func (w *Watch) Ended(server lovageyard.BackendServer) {
-	life := lifeOf(server)
-	requests := w.table.End(life, w.settings.Timer.Now())
+// RecordCrash records that a server's port refuses connections, or that another server now uses its address.
+func (w *Monitor) RecordCrash(server lovageyard.BackendServer) {
+	incarnation := incarnationOf(server)
+	requests := w.table.RecordCrash(incarnation, w.settings.Timer.Now())
 	if len(requests) == 0 {
 		return
 	}
-	w.settings.Metrics.Count(meter.ServersEnded, server.Service)
+	w.settings.Metrics.Count(meter.ServersCrashed, server.Service)
 	w.settings.Logger.WithFields(logrus.Fields{
 		"server":       server.Name,
 		"life":         server.Incarnation,
 		"service":      server.Service,
 		"requests":     len(requests),
-		"fingerprints": format(requests),
-	}).Warn("a server ended while it had requests")
-	w.tell()
+		"fingerprints": formatAll(requests),
+	}).Warn("backend server crashed with requests in flight")
+	w.notify()
 }
 
-// Answered notes that a server answered a request well.
-func (w *Watch) Answered(request uint64) {
-	if w.table.Clear(request, w.settings.Timer.Now()) {
-		w.settings.Logger.WithField("fingerprint", Format(request)).Info("a request is cleared")
-		w.tell()
+// RecordSuccess records that a server answered a request successfully.
+func (w *Monitor) RecordSuccess(request uint64) {
+	if w.table.RecordSuccess(request, w.settings.Timer.Now()) {
+		w.settings.Logger.WithField("fingerprint", Format(request)).Info("request cleared by a success")
+		w.notify()
 	}
 }
 
-// Tick forgets what is too old to count.
-func (w *Watch) Tick(now time.Time) {
+// Tick removes expired state. It is to be called periodically.
+func (w *Monitor) Tick(now time.Time) {
 	w.table.Expire(now)
-	w.showHeld()
+	w.logQuarantined()
 }
 
-// Merge takes in what another instance tells, and says whether any of it was news.
-func (w *Watch) Merge(r Report) bool {
+// Merge applies a report from another instance. It returns whether the report changed the state.
+func (w *Monitor) Merge(r Report) bool {
 	if !w.table.Merge(r, w.settings.Timer.Now()) {
 		return false
 	}
-	w.showHeld()
+	w.logQuarantined()
 	return true
 }
 
-// Report returns all that other instances should know.
-func (w *Watch) Report() Report {
+// Report returns the whole state that other instances need.
+func (w *Monitor) Report() Report {
 	return w.table.Report(w.settings.Timer.Now())
 }
 
-// ReportSince returns what this instance has learnt since a moment.
-func (w *Watch) ReportSince(since time.Time) Report {
+// ReportSince returns what this instance has recorded or merged since a time.
+func (w *Monitor) ReportSince(since time.Time) Report {
 	return w.table.ReportSince(since, w.settings.Timer.Now())
 }
 
-// Digest returns a number that is the same for instances that know the same.
-func (w *Watch) Digest() uint64 {
+// Digest returns a hash of the state, which is the same on instances with the same state.
+func (w *Monitor) Digest() uint64 {
 	return w.table.Digest()
 }
 
-// Found returns the requests that are held since the last call by what this instance saw itself.
-func (w *Watch) Found() []uint64 {
+// NewlyQuarantined returns the requests that observations of this instance have quarantined since the last
+// call.
+func (w *Monitor) NewlyQuarantined() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	found := w.found
-	w.found = nil
+	found := w.newlyQuarantined
+	w.newlyQuarantined = nil
 	return found
 }
 
-// ReportOf returns the crashes under one request.
-func (w *Watch) ReportOf(request uint64) Report {
-	return w.table.ReportOf(request, w.settings.Timer.Now())
+// ReportFor returns the crashes at which one request was in flight.
+func (w *Monitor) ReportFor(request uint64) Report {
+	return w.table.ReportFor(request, w.settings.Timer.Now())
 }
 
-// tell makes known that there is news; nobody waits for it to be taken.
-func (w *Watch) tell() {
-	began := w.showHeld()
+// notify signals on the updates channel without blocking.
+func (w *Monitor) notify() {
+	added := w.logQuarantined()
 	w.mu.Lock()
-	w.found = append(w.found, began...)
+	w.newlyQuarantined = append(w.newlyQuarantined, added...)
 	w.mu.Unlock()
 	select {
-	case w.news <- struct{}{}:
+	case w.updates <- struct{}{}:
 	default:
 	}
 }
 
-// probe finds out beside the request whether a server has ended; one probe of a server runs at a time.
-func (w *Watch) probe(server lovageyard.BackendServer) {
-	life := lifeOf(server)
+// probe checks in the background whether a server has crashed. At most one probe of a server runs at a time.
+func (w *Monitor) probe(server lovageyard.BackendServer) {
+	incarnation := incarnationOf(server)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.probing[life] || w.context.Err() != nil {
+	if w.probing[incarnation] || w.context.Err() != nil {
 		return
 	}
-	w.probing[life] = true
+	w.probing[incarnation] = true
 	w.probes.Go(func() {
-		ended := w.hasEnded(server)
+		crashed := w.confirmCrash(server)
 		w.mu.Lock()
-		delete(w.probing, life)
+		delete(w.probing, incarnation)
 		w.mu.Unlock()
-		if ended {
-			w.Ended(server)
+		if crashed {
+			w.RecordCrash(server)
 		}
 	})
 }
 
-// hasEnded asks a server a few times whether it has ended.
-func (w *Watch) hasEnded(server lovageyard.BackendServer) bool {
-	for n := range probeTimes {
-		if n > 0 && !w.pause(probeEvery) {
+// confirmCrash probes a server up to probeAttempts times and reports whether it refuses connections.
+func (w *Monitor) confirmCrash(server lovageyard.BackendServer) bool {
+	for n := range probeAttempts {
+		if n > 0 && !w.sleep(probeInterval) {
 			return false
 		}
-		if w.settings.Prober.HasEnded(w.context, server) {
+		if w.settings.Prober.RefusesConnections(w.context, server) {
 			return true
 		}
 	}
 	return false
 }
 
-// pause waits for a span; it returns false if the Watch is closed before.
-func (w *Watch) pause(d time.Duration) bool {
+// sleep waits for a duration. It returns false if the Monitor is closed first.
+func (w *Monitor) sleep(d time.Duration) bool {
 	after := w.settings.Timer.After(d)
 	defer after.Close()
 	select {
@@ -223,41 +227,41 @@
 	}
 }
 
-// showHeld writes a line for each request whose hold has begun or ended, and returns the first.
-func (w *Watch) showHeld() []uint64 {
+// logQuarantined logs each request that entered or left the quarantine, and returns those that entered it.
+func (w *Monitor) logQuarantined() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	held := make(map[uint64]bool)
-	var began []uint64
-	for _, h := range w.table.Held() {
-		held[h.Request] = true
-		if w.shown[h.Request] {
+	quarantined := make(map[uint64]bool)
+	var added []uint64
+	for _, h := range w.table.Quarantined() {
+		quarantined[h.Request] = true
+		if w.logged[h.Request] {
 			continue
 		}
-		began = append(began, h.Request)
+		added = append(added, h.Request)
 		w.settings.Logger.WithFields(logrus.Fields{
 			"fingerprint": Format(h.Request),
 			"servers":     h.Servers,
 			"for-ms":      h.Until.Sub(w.settings.Timer.Now()).Milliseconds(),
-		}).Warn("a request is held, as servers end under it")
+		}).Warn("request quarantined: backend servers crash while running it")
 	}
-	for request := range w.shown {
-		if !held[request] {
-			w.settings.Logger.WithField("fingerprint", Format(request)).Info("a request is held no more")
+	for request := range w.logged {
+		if !quarantined[request] {
+			w.settings.Logger.WithField("fingerprint", Format(request)).Info("request released from quarantine")
 		}
 	}
-	w.shown = held
-	w.settings.Metrics.Update(meter.RequestsHeld, int64(len(held)))
-	return began
+	w.logged = quarantined
+	w.settings.Metrics.Update(meter.RequestsQuarantined, int64(len(quarantined)))
+	return added
 }
 
-func lifeOf(server lovageyard.BackendServer) Server {
-	return Server{Name: server.Name, Life: server.Incarnation}
+func incarnationOf(server lovageyard.BackendServer) Server {
+	return Server{Name: server.Name, Incarnation: server.Incarnation}
 }
 
-func format(requests []uint64) []string {
+func formatAll(requests []uint64) []string {
 	var texts []string
-	for _, request := range requests[:min(maxShown, len(requests))] {
+	for _, request := range requests[:min(maxLogged, len(requests))] {
 		texts = append(texts, Format(request))
 	}
 	return texts
