--- a/dispatch/estimate.go
+++ b/dispatch/estimate.go
@@ -41,7 +41,7 @@
 	work   time.Duration
 	load   float64
 	local  bool
-	// reason is the reason for the choice, for logs.
+	// reason explains the choice; see Choice.Reason.
 	reason string
 }
 
@@ -76,7 +76,7 @@
 func (t *Table) workEstimate(route *lovageyard.Route) *workEstimator {
 	known := t.workEstimates[route.Name]
 	if known == nil {
-		known = newWork(route.Goal)
+		known = newWorkEstimator(route.Goal)
 		t.workEstimates[route.Name] = known
 	}
 	return known
--- a/dispatch/notice.go
+++ b/dispatch/notice.go
@@ -7,15 +7,16 @@
 	"lovageyard.example/lovageyard/backpressure"
 )
 
-// Servers may request a rate limit, a backoff or no further requests with any response, whatever
-// route the request took. The records of these requests are kept per incarnation of a server.
+// Any response of a server may request a rate limit or a backoff, or announce that the server is
+// shutting down. This backpressure is recorded per incarnation of a server and applies to first
+// attempts, retries and resends alike.
 
 const (
 	// recordTTL is how long the record of a server is kept while the platform does not list the
 	// server: its entry may expire during an outage of the platform and return.
 	recordTTL = 10 * time.Minute
-	// assumedRestartGap is the same for a server that does not report its incarnation. One that is
-	// listed again after a longer gap is taken to have restarted.
+	// assumedRestartGap applies to a server that does not report its incarnation. If it is listed
+	// again after a longer gap, it is assumed to have restarted and its record is discarded.
 	assumedRestartGap = 5 * time.Second
 )
 
@@ -40,8 +41,7 @@
 
 type recordTable map[incarnation]*recordEntry
 
-// recordOf returns the record of a listed server, or a new one if the server has not requested
-// anything.
+// recordOf returns the record of a listed server, or a new one if there has been no backpressure.
 func (t *Table) recordOf(s lovageyard.BackendServer, now time.Time) *backpressure.Record {
 	entry := t.records[incarnationOf(s)]
 	if entry != nil && s.Incarnation == 0 && !entry.unlistedAt.IsZero() && now.Sub(entry.unlistedAt) > assumedRestartGap {
--- a/dispatch/notice_test.go
+++ b/dispatch/notice_test.go
@@ -12,7 +12,7 @@
 	"lovageyard.example/lovageyard/dispatch"
 )
 
-// observe applies a notice as if it came with a response of a server.
+// observe applies backpressure as if it came with a response of a server.
 func (tt *testTable) observe(server string, n lovageyard.Backpressure) {
 	tt.table.Observe(tt.listed(server).BackendServer, n, tt.now, tt.now)
 }
@@ -73,9 +73,9 @@
 	choice := tt.choose("", "east-1")
 	tt.c.Assert(choice.Refused, qt.IsFalse)
 	tt.c.Assert(tt.table.TakeResend(choice, tt.now), qt.IsFalse)
-	repeat := tt.choose("", "east-1")
-	tt.c.Assert(repeat.Refused, qt.IsTrue)
-	tt.c.Assert(repeat.Cause, qt.Equals, dispatch.CauseBackpressure)
+	retry := tt.choose("", "east-1")
+	tt.c.Assert(retry.Refused, qt.IsTrue)
+	tt.c.Assert(retry.Cause, qt.Equals, dispatch.CauseBackpressure)
 	other := tt.choose("", "east-0")
 	tt.c.Assert(tt.table.TakeResend(other, tt.now), qt.IsTrue)
 }
--- a/dispatch/spill.go
+++ b/dispatch/spill.go
@@ -19,8 +19,9 @@
 // as every object runs uncached once.
 const initialUtilisation = 0.9
 
-// ShiftBound limits how much the share of a region's requests that runs in each region may change
-// from one window to the next. Window must be above 0.
+// ShiftBound limits how fast a region's requests move between regions: MaxChange is the largest
+// share of them, from 0 to 1, that may run in another region than in the previous window. Window must
+// be above 0.
 type ShiftBound struct {
 	MaxChange float64
 	Window    time.Duration
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -226,13 +226,13 @@
 	}
 	for _, route := range c.Routes {
 		if t.workEstimates[route.Name] == nil {
-			t.workEstimates[route.Name] = newWork(route.Goal)
+			t.workEstimates[route.Name] = newWorkEstimator(route.Goal)
 			t.splitters[route.Name] = &weightedSplitter{}
 		}
 		for _, p := range route.Parts {
 			if s := t.services[p.Service]; s != nil {
 				s.fullQueueRank = min(s.fullQueueRank, commonRank(c, route))
-				s.raiseInitialMean(newWork(route.Goal).mean)
+				s.raiseInitialMean(newWorkEstimator(route.Goal).mean)
 			}
 		}
 	}
--- a/dispatch/work.go
+++ b/dispatch/work.go
@@ -18,7 +18,7 @@
 	mean time.Duration
 }
 
-func newWork(goal time.Duration) *workEstimator {
+func newWorkEstimator(goal time.Duration) *workEstimator {
 	if goal <= 0 {
 		goal = defaultGoal
 	}
--- a/link/link.go
+++ b/link/link.go
@@ -169,8 +169,8 @@
 	return nil, failure
 }
 
-// RefusesConnections reports whether a server's port refuses connections. If a connection is accepted, it is
-// kept for the next request.
+// RefusesConnections reports whether a server's port refuses connections. If a connection is
+// accepted, it is kept for the next request.
 func (t *Transport) RefusesConnections(ctx context.Context, server lovageyard.BackendServer) bool {
 	c, err := t.open(ctx, server.Address)
 	if err != nil {
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -106,9 +106,9 @@
 }
 
 func newTransport(c *qt.C) *link.Transport {
-	l := link.New(codec{}, timer.Clock{}, nil)
-	c.Cleanup(l.Close)
-	return l
+	tr := link.New(codec{}, timer.Clock{}, nil)
+	c.Cleanup(tr.Close)
+	return tr
 }
 
 func request(b *scriptedServer, id string, idempotent bool) link.Request {
@@ -120,22 +120,22 @@
 }
 
 // send sends a request with a timeout, so that a failing test ends.
-func send(c *qt.C, l *link.Transport, r link.Request) (*link.Response, error) {
+func send(c *qt.C, tr *link.Transport, r link.Request) (*link.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	c.Cleanup(cancel)
-	return l.Send(ctx, r)
+	return tr.Send(ctx, r)
 }
 
 func TestRequestIsUnchangedAndConnectionIsReused(t *testing.T) {
 	c := qt.New(t)
 	b := newScriptedServer(c, answer("1", "one"), answer("2", "two"))
-	l := newTransport(c)
-	first, err := send(c, l, request(b, "1", true))
+	tr := newTransport(c)
+	first, err := send(c, tr, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(first.Body), qt.Equals, "one")
 	r := request(b, "2", false)
 	r.Method, r.Body = http.MethodPost, []byte("body")
-	second, err := send(c, l, r)
+	second, err := send(c, tr, r)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(second.Body), qt.Equals, "two")
 	requests, conns := b.received()
@@ -174,10 +174,10 @@
 	for _, idempotent := range []bool{true, false} {
 		// The server reads the second request and closes the connection without a response.
 		b := newScriptedServer(c, answer("1", "one"), "", answer("2", "two"))
-		l := newTransport(c)
-		_, err := send(c, l, request(b, "1", idempotent))
+		tr := newTransport(c)
+		_, err := send(c, tr, request(b, "1", idempotent))
 		c.Assert(err, qt.IsNil)
-		_, err = send(c, l, request(b, "2", idempotent))
+		_, err = send(c, tr, request(b, "2", idempotent))
 		requests, _ := b.received()
 		if idempotent {
 			c.Assert(err, qt.IsNil)
@@ -193,8 +193,8 @@
 func TestResendNeedsRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	b := newScriptedServer(c, answer("1", "one"), "", answer("2", "two"))
-	l := newTransport(c)
-	_, err := send(c, l, request(b, "1", true))
+	tr := newTransport(c)
+	_, err := send(c, tr, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	again := request(b, "2", true)
 	calls := 0
@@ -202,7 +202,7 @@
 		calls++
 		return false
 	}
-	_, err = send(c, l, again)
+	_, err = send(c, tr, again)
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
 	c.Assert(calls, qt.Equals, 1)
 	requests, _ := b.received()
@@ -214,11 +214,11 @@
 func TestFailedResendMayHaveRun(t *testing.T) {
 	c := qt.New(t)
 	b := newScriptedServer(c, answer("1", "one"), "")
-	l := newTransport(c)
-	_, err := send(c, l, request(b, "1", true))
+	tr := newTransport(c)
+	_, err := send(c, tr, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	b.listener.Close()
-	_, err = send(c, l, request(b, "2", true))
+	_, err = send(c, tr, request(b, "2", true))
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
 }
 
@@ -229,10 +229,10 @@
 	c := qt.New(t)
 	for _, status := range []string{"421 Misdirected Request", "503 Service Unavailable"} {
 		b := newScriptedServer(c, answer("1", "one"), "", "HTTP/1.1 "+status+"\r\nContent-Length: 0\r\n\r\n")
-		l := newTransport(c)
-		_, err := send(c, l, request(b, "1", true))
+		tr := newTransport(c)
+		_, err := send(c, tr, request(b, "1", true))
 		c.Assert(err, qt.IsNil)
-		_, err = send(c, l, request(b, "2", true))
+		_, err = send(c, tr, request(b, "2", true))
 		c.Assert(err, qt.IsNotNil, qt.Commentf("%s", status))
 		c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
 		c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
@@ -289,10 +289,10 @@
 func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	c := qt.New(t)
 	b := newScriptedServer(c, answer("1", "one")+"stray", answer("2", "two"))
-	l := newTransport(c)
-	_, err := send(c, l, request(b, "1", false))
+	tr := newTransport(c)
+	_, err := send(c, tr, request(b, "1", false))
 	c.Assert(err, qt.IsNil)
-	got, err := send(c, l, request(b, "2", false))
+	got, err := send(c, tr, request(b, "2", false))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(got.Body), qt.Equals, "two")
 	_, conns := b.received()
@@ -312,10 +312,10 @@
 	for _, header := range []string{"Connection: close", "Keep-Alive: timeout=1"} {
 		first := "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 0\r\n" + header + "\r\n\r\n"
 		b := newScriptedServer(c, first, answer("2", "two"))
-		l := newTransport(c)
-		_, err := send(c, l, request(b, "1", true))
+		tr := newTransport(c)
+		_, err := send(c, tr, request(b, "1", true))
 		c.Assert(err, qt.IsNil)
-		_, err = send(c, l, request(b, "2", true))
+		_, err = send(c, tr, request(b, "2", true))
 		c.Assert(err, qt.IsNil)
 		_, conns := b.received()
 		c.Assert(conns, qt.Equals, 2, qt.Commentf("%s", header))
@@ -365,14 +365,14 @@
 	c := qt.New(t)
 	before := newScriptedServer(c, answer("1", "one"), answer("2", "the life before"))
 	after := newScriptedServer(c, answer("2", "two"))
-	l := newTransport(c)
+	tr := newTransport(c)
 	r := request(before, "1", true)
 	r.Incarnation = 100
-	_, err := send(c, l, r)
+	_, err := send(c, tr, r)
 	c.Assert(err, qt.IsNil)
 	r = request(after, "2", true)
 	r.Incarnation = 200
-	second, err := send(c, l, r)
+	second, err := send(c, tr, r)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(second.Body), qt.Equals, "two")
 	requests, _ := before.received()
@@ -391,33 +391,33 @@
 func TestFailureReportsClosedConnectionAndExitedServer(t *testing.T) {
 	c := qt.New(t)
 	b := newScriptedServer(c, "", answer("2", "two"), "")
-	l := newTransport(c)
-	_, err := send(c, l, request(b, "1", true))
+	tr := newTransport(c)
+	_, err := send(c, tr, request(b, "1", true))
 	c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
 	c.Assert(failureOf(c, err).ServerExited, qt.IsFalse)
-	_, err = send(c, l, request(b, "2", true))
+	_, err = send(c, tr, request(b, "2", true))
 	c.Assert(err, qt.IsNil)
 	b.listener.Close()
 	// The idle connection is closed, and a new one refused.
-	_, err = send(c, l, request(b, "3", true))
+	_, err = send(c, tr, request(b, "3", true))
 	c.Assert(failureOf(c, err).ConnectionLost, qt.IsTrue)
 	c.Assert(failureOf(c, err).ServerExited, qt.IsTrue)
-	_, err = send(c, l, request(b, "4", true))
+	_, err = send(c, tr, request(b, "4", true))
 	c.Assert(failureOf(c, err).ConnectionLost, qt.IsFalse)
 	c.Assert(failureOf(c, err).ServerExited, qt.IsTrue)
 }
 
-func TestHasEndedDetectsExitedServer(t *testing.T) {
+func TestRefusesConnectionsDetectsExitedServer(t *testing.T) {
 	c := qt.New(t)
 	b := newScriptedServer(c, answer("1", "one"))
-	l := newTransport(c)
+	tr := newTransport(c)
 	described := lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()}
-	c.Assert(l.RefusesConnections(context.Background(), described), qt.IsFalse)
+	c.Assert(tr.RefusesConnections(context.Background(), described), qt.IsFalse)
 	// The connection of the probe carries the next request.
-	_, err := send(c, l, request(b, "1", true))
+	_, err := send(c, tr, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	_, conns := b.received()
 	c.Assert(conns, qt.Equals, 1)
 	b.listener.Close()
-	c.Assert(l.RefusesConnections(context.Background(), described), qt.IsTrue)
+	c.Assert(tr.RefusesConnections(context.Background(), described), qt.IsTrue)
 }
--- a/link/notice_test.go
+++ b/link/notice_test.go
@@ -42,16 +42,16 @@
 // limitCodec interprets the status of a response as a rate limit.
 type limitCodec struct{ codec }
 
-func (l limitCodec) Answer(r *http.Response) lovageyard.ResponseMeta {
-	meta := l.codec.Answer(r)
+func (tr limitCodec) Answer(r *http.Response) lovageyard.ResponseMeta {
+	meta := tr.codec.Answer(r)
 	meta.Backpressure = lovageyard.Backpressure{Limited: true, Limit: float64(r.StatusCode)}
 	return meta
 }
 
 func newObservedTransport(c *qt.C, o *testObserver) *link.Transport {
-	l := link.New(limitCodec{}, timer.Clock{}, o)
-	c.Cleanup(l.Close)
-	return l
+	tr := link.New(limitCodec{}, timer.Clock{}, o)
+	c.Cleanup(tr.Close)
+	return tr
 }
 
 // Only responses of the server that the request was sent to are observed, not those of another
@@ -111,15 +111,15 @@
 func TestRequestIsWithheldAfterBackoff(t *testing.T) {
 	c := qt.New(t)
 	b := newScriptedServer(c, answer("2", "two"))
-	l := newTransport(c)
+	tr := newTransport(c)
 	r := request(b, "1", true)
 	r.MaySend = func() bool { return false }
-	_, err := send(c, l, r)
+	_, err := send(c, tr, r)
 	var failure *lovageyard.RequestError
 	c.Assert(errors.As(err, &failure), qt.IsTrue)
 	c.Assert(failure.Verdict, qt.Equals, lovageyard.VerdictNotRun)
 	c.Assert(failure.Throttled, qt.IsTrue)
-	_, err = send(c, l, request(b, "2", true))
+	_, err = send(c, tr, request(b, "2", true))
 	c.Assert(err, qt.IsNil)
 	requests, conns := b.received()
 	c.Assert(requests, qt.HasLen, 1)
--- a/server/pool.go
+++ b/server/pool.go
@@ -141,16 +141,16 @@
 
 // Release frees the slot of a result and assigns it to the next queued request. It must be called
 // once for each result with a server.
-func (p *Pool) Release(r Result, a lovageyard.Outcome) {
+func (p *Pool) Release(r Result, o lovageyard.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.backend.inFlight--
-	r.backend.applyResponse(a)
-	if !a.Failed {
+	r.backend.applyResponse(o)
+	if !o.Failed {
 		p.answers++
-		p.updateMean(a.Duration)
+		p.updateMean(o.Duration)
 	}
-	p.drainQueue(a.At)
+	p.drainQueue(o.At)
 }
 
 // MarkUnreachable excludes a server that could not be reached until ObserveReport is called for it.
--- a/server/state.go
+++ b/server/state.go
@@ -127,18 +127,18 @@
 }
 
 // applyResponse updates the state with one response.
-func (be *backend) applyResponse(a lovageyard.Outcome) {
-	if a.Reported {
-		be.applyReport(a.At, a.Report)
+func (be *backend) applyResponse(o lovageyard.Outcome) {
+	if o.Reported {
+		be.applyReport(o.At, o.Report)
 	}
-	if a.Failed {
+	if o.Failed {
 		return
 	}
 	be.responses++
 	if be.meanDuration == 0 {
-		be.meanDuration = a.Duration
+		be.meanDuration = o.Duration
 	}
-	be.meanDuration += time.Duration(meanWeight * float64(a.Duration-be.meanDuration))
+	be.meanDuration += time.Duration(meanWeight * float64(o.Duration-be.meanDuration))
 	if be.responses >= warmUpResponses {
 		be.trigger(eventWarm)
 	}
