--- a/dispatch/home.go
+++ b/dispatch/home.go
@@ -43,7 +43,7 @@
 	alternate := t.alternate(r, s, object, home)
 	switch {
 	case c == nil && alternate == nil:
-		return nil, refusal{cause: CauseHomeFull, reason: "the object's home server is full, and its alternate server has no room"}
+		return nil, refusal{cause: CauseHomeFull, reason: "the object's home is full, and its stand-in has no room"}
 	case c == nil:
 		alternate.reason = "the object's home server is full; its alternate server has room"
 		return alternate, refusal{}
--- a/dispatch/region.go
+++ b/dispatch/region.go
@@ -12,7 +12,7 @@
 	case best != nil:
 		return best, refusal{}
 	case remote != nil:
-		return nil, refusal{cause: CauseRegionFull, reason: "the region's servers are full, and the share of requests to other regions is used up"}
+		return nil, refusal{cause: CauseRegionFull, reason: "the region's servers are full, and others take no more at once"}
 	}
 	return nil, refusedNoServer
 }
