--- a/link/stream_test.go
+++ b/link/stream_test.go
@@ -276,7 +276,7 @@
 	c.Assert(connections.Load(), qt.Equals, int64(2))
 }
 
-// An idempotent request without a body is resent if a reused connection is closed.
+// A streamed lookup without a body is resent if the server closes a reused connection.
 func TestStreamedLookupIsResentOnNewConnection(t *testing.T) {
 	c := qt.New(t)
 	server, connections := rawServer(t, func(conn net.Conn) {
--- a/server/pool_test.go
+++ b/server/pool_test.go
@@ -119,17 +119,17 @@
 			sent++
 		}
 	}
-	c.Assert(sent, qt.Equals, 4, qt.Commentf("the even share is always free to use, no more while others hold the rest"))
+	c.Assert(sent, qt.Equals, 4, qt.Commentf("the equal share may always be used, but no more while other instances use the rest"))
 	later := testStart.Add(maxReportAge)
 	p.Expire(later)
-	c.Assert(p.Stats(later).InFlight, qt.Equals, 8, qt.Commentf("an old report is not believed"))
+	c.Assert(p.Stats(later).InFlight, qt.Equals, 8, qt.Commentf("an expired report is ignored"))
 }
 
 func TestPoolStates(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		change func(p *Pool)
-		takers int
+		name      string
+		change    func(p *Pool)
+		available int
 	}{
 		{"listed", func(*Pool) {}, 2},
 		{"suspect", func(p *Pool) { p.MarkUnreachable("server-1") }, 1},
@@ -143,11 +143,11 @@
 			p.MarkUnreachable("server-1")
 			p.ObserveReport("server-1", lovageyard.LoadReport{Slots: 2}, testStart)
 		}, 1},
-		{"back again", func(p *Pool) {
+		{"returned after leaving", func(p *Pool) {
 			p.SetState("server-1", lovageyard.StateLeaving)
 			p.SetState("server-1", lovageyard.StateLive)
 		}, 2},
-		{"says so itself", func(p *Pool) {
+		{"reports itself as leaving", func(p *Pool) {
 			p.ObserveReport("server-1", lovageyard.LoadReport{Leaving: true}, testStart)
 		}, 1},
 		{"unlisted", func(p *Pool) { p.SetServers(servers(1, 2)) }, 1},
@@ -156,7 +156,7 @@
 			c := qt.New(t)
 			p := newTestPool(Shared, 2, 2, 1)
 			test.change(p)
-			c.Assert(p.Stats(testStart).Available, qt.Equals, test.takers)
+			c.Assert(p.Stats(testStart).Available, qt.Equals, test.available)
 		})
 	}
 }
