--- a/caller/answer.go
+++ b/caller/answer.go
@@ -15,58 +15,59 @@
 	"lovageyard.example/lovageyard/link"
 )
 
-// copySize is the size of the pieces in which a long answer is passed on.
-const copySize = 32 << 10
+// copyBufferSize is the size of the buffer with which a long answer is forwarded.
+const copyBufferSize = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any {
-	buffer := make([]byte, copySize)
+	buffer := make([]byte, copyBufferSize)
 	return &buffer
 }}
 
-// pass passes an answer on: a small one only when it is whole, a longer one as it
-// comes. The done function is called once the backend server has ended the answer.
-func (x *exchange) pass(response *http.Response, done func(failed bool)) *attemptError {
-	var kept []byte
-	whole := false
+// forwardAnswer forwards an answer to the caller: a small one once it is complete, a longer one as it arrives.
+// It calls done once the backend server has finished the answer.
+func (x *exchange) forwardAnswer(response *http.Response, done func(failed bool)) *attemptError {
+	var buffered []byte
+	complete := false
 	if !isStream(response) {
 		var err error
-		kept, err = io.ReadAll(io.LimitReader(response.Body, maxKept))
+		buffered, err = io.ReadAll(io.LimitReader(response.Body, maxBuffered))
 		if err != nil {
 			done(true)
 			failure := lovageyard.MayHaveRun("the backend server's answer broke off", err)
 			return &attemptError{RequestError: failure, status: http.StatusBadGateway}
 		}
-		whole = len(kept) < maxKept
+		complete = len(buffered) < maxBuffered
 	}
-	if whole {
+	if complete {
 		done(false)
 	}
-	x.recordAnswer(response, kept, whole)
-	x.head(response)
-	_, err := x.writer.Write(kept)
-	if !whole {
-		err = x.stream(response, err, done)
+	x.recordAnswer(response, buffered, complete)
+	x.writeHead(response)
+	_, err := x.writer.Write(buffered)
+	if !complete {
+		err = x.streamRest(response, err, done)
 	}
-	x.trailers(response)
-	x.account(response, err)
+	x.writeTrailers(response)
+	x.recordResult(response, err)
 	return nil
 }
 
-// stream passes the rest of a long answer on, and cuts it visibly if it breaks off.
-func (x *exchange) stream(response *http.Response, err error, done func(failed bool)) error {
+// streamRest forwards the rest of a long answer. If that fails it aborts the connection, so that the caller
+// notices that the answer is incomplete.
+func (x *exchange) streamRest(response *http.Response, err error, done func(failed bool)) error {
 	if err == nil {
 		err = x.copyRest(response)
 	}
 	var broken *brokenAnswer
 	done(errors.As(err, &broken))
 	if err != nil {
-		x.account(response, err)
+		x.recordResult(response, err)
 		panic(http.ErrAbortHandler)
 	}
 	return nil
 }
 
-// brokenAnswer is a failure on the backend server's side of an answer.
+// brokenAnswer is an error on the backend server's side of an answer.
 type brokenAnswer struct {
 	error
 }
@@ -95,14 +96,14 @@
 	}
 }
 
-// isStream says whether an answer is meant to be read while it is being made.
+// isStream reports whether the answer is an event stream, which has to be flushed as it arrives.
 func isStream(r *http.Response) bool {
 	kind, _, err := mime.ParseMediaType(r.Header.Get("Content-Type"))
 	return err == nil && kind == "text/event-stream"
 }
 
-// passHint passes an early hint on; other interim answers concern one connection only.
-func (x *exchange) passHint(code int, header textproto.MIMEHeader) error {
+// forwardEarlyHint forwards a 103 response; other 1xx responses concern a single connection only.
+func (x *exchange) forwardEarlyHint(code int, header textproto.MIMEHeader) error {
 	if code != http.StatusEarlyHints {
 		return nil
 	}
@@ -114,7 +115,7 @@
 	return nil
 }
 
-func (x *exchange) head(response *http.Response) {
+func (x *exchange) writeHead(response *http.Response) {
 	header := x.writer.Header()
 	closing := header.Get("Connection")
 	copyHeader(header, link.EndToEndHeaders(response.Header))
@@ -132,18 +133,18 @@
 	x.writer.WriteHeader(response.StatusCode)
 }
 
-// trailers passes on the trailers, which are complete once the body has been read.
-func (x *exchange) trailers(response *http.Response) {
+// writeTrailers forwards the trailers, which are complete once the body has been read.
+func (x *exchange) writeTrailers(response *http.Response) {
 	if len(response.Trailer) == 0 {
 		return
 	}
-	// The flush makes a small answer chunked, so that trailers can follow it.
+	// Flushing forces chunked encoding for a small answer, as trailers require.
 	_ = http.NewResponseController(x.writer).Flush()
 	copyHeader(x.writer.Header(), response.Trailer)
 }
 
-// account counts and records an attempt that was answered.
-func (x *exchange) account(response *http.Response, err error) {
+// recordResult updates metrics and writes the log line of an answered attempt.
+func (x *exchange) recordResult(response *http.Response, err error) {
 	x.count("answered")
 	took := x.handler.timer.Now().Sub(x.began)
 	x.observe(took)
@@ -156,5 +157,5 @@
 }
 
 func (x *exchange) observe(took time.Duration) {
-	metrics.GetOrRegisterTimer("class."+x.work.Class.Name+".duration", x.handler.metrics).Update(took)
+	metrics.GetOrRegisterTimer("class."+x.classRoute.Class.Name+".duration", x.handler.metrics).Update(took)
 }
--- a/caller/body.go
+++ b/caller/body.go
@@ -6,40 +6,41 @@
 	"net/http"
 )
 
-// maxKept is the size up to which a body is kept, to be sent again or passed on whole.
-const maxKept = 64 << 10
+// maxBuffered is the size up to which a body is buffered, so that it can be sent again or forwarded as a
+// whole.
+const maxBuffered = 64 << 10
 
-// requestBody is a caller's body, read ahead so that a slow caller holds no slot.
+// requestBody is a caller's body. It is read before a slot is acquired, so that a slow caller does not occupy
+// one.
 type requestBody struct {
-	kept  []byte
-	rest  io.Reader
-	empty bool
+	buffered []byte
+	rest     io.Reader
+	empty    bool
 }
 
-// readAhead reads a body up to a limit.
+// readAhead reads a body up to a limit; the remainder is read while the request is sent.
 func readAhead(r *http.Request, limit int64) (*requestBody, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return &requestBody{empty: true}, nil
 	}
-	kept, err := io.ReadAll(io.LimitReader(r.Body, limit))
+	buffered, err := io.ReadAll(io.LimitReader(r.Body, limit))
 	if err != nil {
 		return nil, err
 	}
-	b := &requestBody{kept: kept}
-	if int64(len(kept)) == limit {
+	b := &requestBody{buffered: buffered}
+	if int64(len(buffered)) == limit {
 		b.rest = r.Body
 	}
 	return b, nil
 }
 
-// whole says whether all of the body is kept, so that it can be sent again.
-func (b *requestBody) whole() bool {
+// isComplete reports whether the body is buffered completely and can be sent again.
+func (b *requestBody) isComplete() bool {
 	return b.rest == nil
 }
 
-// attach gives one attempt its body. The transport is never told how to get the body
-// again, and an empty body of a request that must not run twice is not http.NoBody:
-// either would let the transport send the request again by itself.
+// attach sets the body of one attempt. GetBody is never set, and the empty body of a request that must not run
+// twice is not http.NoBody, as either would let the transport retry the request on its own.
 func (b *requestBody) attach(out *http.Request, length int64, replayable bool) {
 	out.GetBody = nil
 	if b.empty && replayable && len(out.Trailer) == 0 {
@@ -48,21 +49,21 @@
 		return
 	}
 	out.ContentLength = length
-	if b.whole() {
-		out.ContentLength = int64(len(b.kept))
+	if b.isComplete() {
+		out.ContentLength = int64(len(b.buffered))
 	}
 	if len(out.Trailer) > 0 {
-		// Trailers follow a chunked body only.
+		// Only a chunked body can have trailers.
 		out.ContentLength = -1
 	}
-	reader := io.Reader(bytes.NewReader(b.kept))
+	reader := io.Reader(bytes.NewReader(b.buffered))
 	if b.rest != nil {
 		reader = io.MultiReader(reader, b.rest)
 	}
 	out.Body = io.NopCloser(onlyReader{reader})
 }
 
-// onlyReader hides all but Read.
+// onlyReader hides all methods but Read.
 type onlyReader struct {
 	io.Reader
 }
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -37,12 +37,12 @@
 )
 
 func TestMain(m *testing.M) {
-	// The metrics library keeps one goroutine for all meters of a process.
+	// The metrics library runs one goroutine for all meters of the process.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/rcrowley/go-metrics.(*meterArbiter).tick"))
 }
 
-// rig is a handler in front of backend servers that a test scripts.
-type rig struct {
+// rig is a handler in front of scripted backend servers.
+type harness struct {
 	snapshot *route.Snapshot
 	pool     *server.Pool
 	front    *httptest.Server
@@ -53,17 +53,17 @@
 	leaving   []string
 }
 
-func (r *rig) Snapshot() *route.Snapshot {
+func (r *harness) Snapshot() *route.Snapshot {
 	return r.snapshot
 }
 
-func (r *rig) Record(d lovageyard.Decision) {
+func (r *harness) Record(d lovageyard.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decisions = append(r.decisions, d)
 }
 
-func (r *rig) ServerLeaving(_, _, name string) {
+func (r *harness) ServerLeaving(_, _, name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = append(r.leaving, name)
@@ -80,9 +80,9 @@
 	}
 }
 
-// newRig starts a front whose backend servers are at the addresses.
-func newRig(t *testing.T, addresses ...string) *rig {
-	r := &rig{pool: server.NewPool(server.Settings{Mode: server.RoundRobin, QueuePerSlot: 1}, 1)}
+// newRig starts an HTTP server with the handler, for backend servers at the given addresses.
+func newHarness(t *testing.T, addresses ...string) *harness {
+	r := &harness{pool: server.NewPool(server.Settings{Mode: server.RoundRobin, QueuePerSlot: 1}, 1)}
 	var list []lovageyard.BackendServer
 	for i, address := range addresses {
 		list = append(list, lovageyard.BackendServer{Name: fmt.Sprintf("server-%d", i+1), Address: address, Slots: 4, State: lovageyard.StateLive})
@@ -118,7 +118,7 @@
 	charges := charge.NewStore(memory.NewStore(), timer.Clock{}, "near-1/1")
 	handler := NewHandler(Settings{
 		Source:   r,
-		Watcher:  r,
+		Observer: r,
 		Charges:  charges,
 		Backend:  client,
 		Timer:    timer.Clock{},
@@ -137,7 +137,7 @@
 	return r
 }
 
-// newBackend starts one scripted backend server and returns its address.
+// newBackend starts a scripted backend server and returns its address.
 func newBackend(t *testing.T, f http.HandlerFunc) string {
 	s := httptest.NewServer(f)
 	t.Cleanup(s.Close)
@@ -160,19 +160,20 @@
 }
 
 func TestForwardVerdicts(t *testing.T) {
-	dead := func() string {
+	closedAddress := func() string {
 		l, _ := net.Listen("tcp", "127.0.0.1:0")
 		defer l.Close()
 		return l.Addr().String()
 	}
 	for _, test := range []struct {
 		name string
-		// first is what the server of the first attempt does; nil means that nothing listens.
+		// first is the behavior of the server that gets the first attempt; nil means that nothing listens
+		// there.
 		first   http.HandlerFunc
 		path    string
 		status  int
 		verdict lovageyard.Verdict
-		// second is whether the second server gets the request.
+		// second is the number of attempts that the second server gets.
 		second int64
 	}{
 		{"lookup, server refuses", refuse, "/lookups/1", 200, "", 1},
@@ -189,12 +190,12 @@
 				seconds.Add(1)
 				answerOK(w, r)
 			})
-			first := dead()
+			first := closedAddress()
 			if test.first != nil {
 				first = newBackend(t, test.first)
 			}
-			// The first turn of round robin is the second server of the list.
-			r := newRig(t, second, first)
+			// Round robin starts with the second server of the list.
+			r := newHarness(t, second, first)
 			response, err := r.client.Do(post(c, r.front.URL+test.path, "key-1", "body"))
 			c.Assert(err, qt.IsNil)
 			defer response.Body.Close()
@@ -215,7 +216,7 @@
 }
 
 func TestForwardRefusals(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for _, test := range []struct {
 		name     string
 		path     string
@@ -244,8 +245,8 @@
 func TestForwardDeadline(t *testing.T) {
 	c := qt.New(t)
 	seen := make(chan string, 1)
-	r := newRig(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
-		// A server notices that its caller has gone only once it has read the body.
+	r := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
+		// A server detects a disconnected client only after it has read the body.
 		_, _ = io.Copy(io.Discard, r.Body)
 		seen <- r.Header.Get(lovageyard.DeadlineHeader)
 		<-r.Context().Done()
@@ -260,10 +261,10 @@
 	c.Assert(<-seen, qt.Matches, `1[0-5]?\d?`)
 }
 
-// TestForwardHTTP checks what callers expect of HTTP, through the front.
+// TestForwardHTTP checks that the handler preserves HTTP semantics.
 func TestForwardHTTP(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	r := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		switch r.URL.Path {
 		case "/lookups/echo":
@@ -353,7 +354,7 @@
 	}{{"whole", false}, {"cut", true}} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newRig(t, newBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+			r := newHarness(t, newBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write(make([]byte, size))
 				if test.cut {
 					panic(http.ErrAbortHandler)
@@ -373,11 +374,11 @@
 	}
 }
 
-func TestForwardPassesCancellationOn(t *testing.T) {
+func TestForwardPropagatesCancellation(t *testing.T) {
 	c := qt.New(t)
 	began := make(chan struct{})
 	cancelled := make(chan struct{})
-	r := newRig(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
+	r := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-r.Context().Done()
 		close(cancelled)
@@ -395,9 +396,9 @@
 	c.Assert(r.pool.Stats(time.Now()).Suspects, qt.HasLen, 0)
 }
 
-func TestLeavingServerIsPassedOn(t *testing.T) {
+func TestLeavingServerIsReported(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	r := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(lovageyard.LoadHeader, `{"slots":4,"leaving":true}`)
 		answerOK(w, r)
 	}))
@@ -410,7 +411,7 @@
 }
 
 func TestLookUp(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for _, test := range []struct {
 		query  string
 		status int
@@ -446,7 +447,7 @@
 	}
 }
 
-// post returns a request with a key.
+// post returns a request with an idempotency key.
 func post(c *qt.C, target, key, body string) *http.Request {
 	request, err := http.NewRequest(http.MethodPost, target, strings.NewReader(body))
 	c.Assert(err, qt.IsNil)
@@ -456,7 +457,7 @@
 	return request
 }
 
-// TestChargeRunsAtMostOnce repeats charges after each end of the first one.
+// TestChargeRunsAtMostOnce repeats a request after each outcome of the first one.
 func TestChargeRunsAtMostOnce(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -478,7 +479,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			var runs atomic.Int64
-			r := newRig(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
+			r := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 				runs.Add(1)
 				test.backend(w, r)
 			}))
@@ -503,11 +504,11 @@
 	}
 }
 
-// TestMemoryStaysFlatOnLongBodies passes 100 MB each way.
+// TestMemoryStaysFlatOnLongBodies forwards 100 MB in each direction.
 func TestMemoryStaysFlatOnLongBodies(t *testing.T) {
 	c := qt.New(t)
 	const size = 100 << 20
-	r := newRig(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	r := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		n, _ := io.Copy(w, r.Body)
 		if n != size {
@@ -517,14 +518,14 @@
 	peak := make(chan uint64, 1)
 	done := make(chan struct{})
 	go func() {
-		most := uint64(0)
+		highest := uint64(0)
 		for {
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
-			most = max(most, m.HeapInuse)
+			highest = max(highest, m.HeapInuse)
 			select {
 			case <-done:
-				peak <- most
+				peak <- highest
 				return
 			case <-time.After(time.Millisecond):
 			}
@@ -547,8 +548,9 @@
 	return len(b), nil
 }
 
-// TestImpatientCallersMakeNoSuspects cancels requests, and sends ones with hardly any time.
-func TestImpatientCallersMakeNoSuspects(t *testing.T) {
+// TestShortDeadlinesDoNotMarkServers checks that only a server that is silent for long is marked as
+// unreachable, not one whose caller left it little time.
+func TestShortDeadlinesDoNotMarkServers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		deadline string
@@ -559,7 +561,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newRig(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
+			r := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 				<-r.Context().Done()
 			}))
 			request, err := http.NewRequest(http.MethodGet, r.front.URL+"/lookups/1", nil)
--- a/caller/charge.go
+++ b/caller/charge.go
@@ -11,22 +11,22 @@
 	"lovageyard.example/lovageyard/link"
 )
 
-// keyHeader carries the caller's key of a request that must run at most once.
+// keyHeader is the header with the idempotency key of a request that must run at most once.
 const keyHeader = "Idempotency-Key"
 
-// maxChargeBody bounds the body of such a request, as the whole of it is hashed.
+// maxChargeBody is the maximum body size of such a request, as its whole body is hashed.
 const maxChargeBody = 1 << 20
 
-// retryAfterPlatform is when a caller whose key could not be claimed should come back.
-const retryAfterPlatform = 2 * time.Second
+// claimRetryAfter is the retry time if the key could not be claimed because the platform was unavailable.
+const claimRetryAfter = 2 * time.Second
 
-// replayedHeader marks an answer that was kept from an earlier run.
+// replayedHeader marks an answer that was stored by an earlier run.
 const replayedHeader = "Lovageyard-Replayed"
 
-// claim claims the key of a request that must run at most once. It returns true if the
-// request may be sent; otherwise the caller has its answer.
+// claim claims the key of a request that must run at most once. It returns true if the request may be sent;
+// otherwise it has sent the response.
 func (x *exchange) claim() bool {
-	if x.work.Class.Idempotent {
+	if x.classRoute.Class.Idempotent {
 		return true
 	}
 	key := x.request.Header.Get(keyHeader)
@@ -34,14 +34,14 @@
 		x.refuse(http.StatusBadRequest, lovageyard.NotRun(err.Error(), nil), 0)
 		return false
 	}
-	if !x.body.whole() {
+	if !x.body.isComplete() {
 		x.refuse(http.StatusRequestEntityTooLarge, lovageyard.NotRun("the body is too long for this class", nil), 0)
 		return false
 	}
 	held, answer, err := x.handler.charges.Claim(x.request.Context(), charge.Request{
-		Class:      x.work.Class.Name,
+		Class:      x.classRoute.Class.Name,
 		Key:        key,
-		Hash:       charge.HashRequest(x.request.Method, x.request.URL.RequestURI(), x.body.kept),
+		Hash:       charge.HashRequest(x.request.Method, x.request.URL.RequestURI(), x.body.buffered),
 		SendBefore: x.deadline,
 	})
 	switch {
@@ -50,7 +50,7 @@
 	case answer != nil:
 		x.replay(answer)
 	}
-	x.held = held
+	x.heldClaim = held
 	return held != nil
 }
 
@@ -70,15 +70,15 @@
 	x.refuse(status, failure, x.retryAfterClaim(failure))
 }
 
-// retryAfterClaim tells the caller when a claim that could not be made may succeed.
+// retryAfterClaim returns the retry time after a failed claim, or 0 if a retry with the key may not succeed.
 func (x *exchange) retryAfterClaim(failure *lovageyard.RequestError) time.Duration {
 	if failure.Verdict == lovageyard.VerdictNotRun {
-		return retryAfterPlatform
+		return claimRetryAfter
 	}
 	return 0
 }
 
-// replay gives the caller the answer that was kept from an earlier run.
+// replay sends the stored answer of an earlier run.
 func (x *exchange) replay(a *charge.Answer) {
 	header := x.writer.Header()
 	copyHeader(header, a.Header)
@@ -95,27 +95,27 @@
 	x.record(nil, a.Status)
 }
 
-// recordAnswer keeps the answer of a claimed request before it is passed on.
-func (x *exchange) recordAnswer(response *http.Response, body []byte, whole bool) {
-	if x.held == nil {
+// recordAnswer stores the answer of a claimed request before it is forwarded.
+func (x *exchange) recordAnswer(response *http.Response, body []byte, complete bool) {
+	if x.heldClaim == nil {
 		return
 	}
-	a := charge.Answer{Status: response.StatusCode, Header: link.EndToEndHeaders(response.Header), Whole: whole}
+	a := charge.Answer{Status: response.StatusCode, Header: link.EndToEndHeaders(response.Header), Whole: complete}
 	a.Header.Del(lovageyard.LoadHeader)
-	if whole {
+	if complete {
 		a.Body = body
 	}
-	x.handler.charges.Record(x.held, a)
+	x.handler.charges.Record(x.heldClaim, a)
 }
 
-// endClaim notes what became of a claimed request that has failed.
-func (x *exchange) endClaim(v lovageyard.Verdict) {
+// finishClaim updates the claim of a request that has failed.
+func (x *exchange) finishClaim(v lovageyard.Verdict) {
 	switch {
-	case x.held == nil:
+	case x.heldClaim == nil:
 	case v == lovageyard.VerdictNotRun:
-		x.handler.charges.Release(x.held)
+		x.handler.charges.Release(x.heldClaim)
 	default:
-		x.handler.charges.MarkUnknown(x.held)
+		x.handler.charges.MarkUnknown(x.heldClaim)
 	}
-	x.held = nil
+	x.heldClaim = nil
 }
--- a/caller/forward.go
+++ b/caller/forward.go
@@ -20,44 +20,44 @@
 	"lovageyard.example/lovageyard/server"
 )
 
-// maxAttempts bounds the attempts at one request.
+// maxAttempts is the maximum number of attempts at one request.
 const maxAttempts = 3
 
-// A server that does not answer is suspected after patienceMeans mean answer times of
-// its pool, and not before leastPatience.
+// A server that does not answer is marked as unreachable after patienceFactor times the mean response time of
+// its pool, but not before minPatience.
 const (
-	patienceMeans = 8
-	leastPatience = 500 * time.Millisecond
+	patienceFactor = 8
+	minPatience    = 500 * time.Millisecond
 )
 
-// statusClientGone is logged for a request whose caller went away.
+// statusClientGone is logged for a request whose client disconnected.
 const statusClientGone = 499
 
-// exchange is one caller's request on its way.
+// exchange is the state of one request.
 type exchange struct {
-	handler  *Handler
-	writer   http.ResponseWriter
-	request  *http.Request
-	work     *route.ClassRoute
-	body     *requestBody
-	place    block.Location
-	home     string
-	deadline time.Time
-	began    time.Time
-	attempt  int
-	choice   route.Choice
-	slot     server.Result
-	held     *charge.HeldClaim
+	handler    *Handler
+	writer     http.ResponseWriter
+	request    *http.Request
+	classRoute *route.ClassRoute
+	body       *requestBody
+	location   block.Location
+	home       string
+	deadline   time.Time
+	began      time.Time
+	attempt    int
+	choice     route.Choice
+	slot       server.Result
+	heldClaim  *charge.HeldClaim
 }
 
 func (h *Handler) forward(w http.ResponseWriter, r *http.Request, s *route.Snapshot) {
-	work := s.Match(r)
-	if work == nil {
+	classRoute := s.Match(r)
+	if classRoute == nil {
 		fail(w, http.StatusNotFound, lovageyard.NotRun("no class matches the request", nil), 0)
 		return
 	}
 	began := h.timer.Now()
-	limit, err := deadlineOf(r, work.Class)
+	limit, err := deadlineOf(r, classRoute.Class)
 	if err != nil {
 		fail(w, http.StatusBadRequest, lovageyard.NotRun(err.Error(), nil), 0)
 		return
@@ -65,15 +65,15 @@
 	ctx, cancel := context.WithDeadline(r.Context(), began.Add(limit))
 	defer cancel()
 	x := &exchange{
-		handler:  h,
-		writer:   w,
-		request:  r.WithContext(ctx),
-		work:     work,
-		deadline: began.Add(limit),
-		began:    began,
+		handler:    h,
+		writer:     w,
+		request:    r.WithContext(ctx),
+		classRoute: classRoute,
+		deadline:   began.Add(limit),
+		began:      began,
 	}
-	x.place, x.home = s.Locate(clientOf(r))
-	work.CountRequest(x.place, x.home)
+	x.location, x.home = s.Locate(clientOf(r))
+	classRoute.CountRequest(x.location, x.home)
 	x.run()
 }
 
@@ -81,7 +81,8 @@
 	return remoteAddr(r)
 }
 
-// deadlineOf returns the time that a request may take.
+// deadlineOf returns the time limit of a request: that of its deadline header, up to class.MaxDeadline, or
+// else that of its class.
 func deadlineOf(r *http.Request, c lovageyard.Class) (time.Duration, error) {
 	text := r.Header.Get(lovageyard.DeadlineHeader)
 	if text == "" {
@@ -94,22 +95,22 @@
 	return min(time.Duration(ms)*time.Millisecond, class.MaxDeadline), nil
 }
 
-// run makes attempts until one is answered or none may follow.
+// run makes attempts until one is answered or no retry is allowed.
 func (x *exchange) run() {
-	body, err := readAhead(x.request, x.maxKept())
+	body, err := readAhead(x.request, x.bodyLimit())
 	if err != nil {
 		x.refuse(http.StatusBadRequest, lovageyard.NotRun("the request's body could not be read", err), 0)
 		return
 	}
 	x.body = body
-	if !body.whole() {
-		// A long body may still be arriving when the answer begins.
+	if !body.isComplete() {
+		// A long body may still be arriving when the answer starts.
 		_ = http.NewResponseController(x.writer).EnableFullDuplex()
 	}
 	if !x.claim() {
 		return
 	}
-	x.work.Budget.Deposit()
+	x.classRoute.Budget.Deposit()
 	for x.attempt = 1; ; x.attempt++ {
 		failure := x.try()
 		if failure == nil {
@@ -117,51 +118,51 @@
 		}
 		x.record(failure, 0)
 		if !x.mayRetry(failure) {
-			x.endClaim(failure.Verdict)
+			x.finishClaim(failure.Verdict)
 			x.finish(failure)
 			return
 		}
 	}
 }
 
-// maxKept returns the size up to which the request's body is kept.
-func (x *exchange) maxKept() int64 {
-	if x.work.Class.Idempotent {
-		return maxKept
+// bodyLimit returns the size up to which the request's body is buffered.
+func (x *exchange) bodyLimit() int64 {
+	if x.classRoute.Class.Idempotent {
+		return maxBuffered
 	}
 	return maxChargeBody
 }
 
-// attemptError is a failed attempt: the failure, and the answer's status if it is final.
+// attemptError is a failed attempt, with the status of the response if no other attempt follows.
 type attemptError struct {
 	*lovageyard.RequestError
 	status     int
 	retryAfter time.Duration
-	// refused says that the system itself refused; another attempt would meet the same.
-	refused bool
+	// final reports whether this instance refused the request, in which case a retry would be refused as well.
+	final bool
 }
 
 func (x *exchange) mayRetry(failure *attemptError) bool {
-	if failure.refused || x.attempt >= maxAttempts || x.request.Context().Err() != nil {
+	if failure.final || x.attempt >= maxAttempts || x.request.Context().Err() != nil {
 		return false
 	}
-	if failure.Verdict != lovageyard.VerdictNotRun && !x.work.Class.Idempotent {
+	if failure.Verdict != lovageyard.VerdictNotRun && !x.classRoute.Class.Idempotent {
 		return false
 	}
-	if !x.body.whole() {
+	if !x.body.isComplete() {
 		return false
 	}
-	return x.work.Budget.Withdraw()
+	return x.classRoute.Budget.Withdraw()
 }
 
-// try makes one attempt; nil means that the caller has its answer.
+// try makes one attempt. It returns nil once the response has been sent.
 func (x *exchange) try() *attemptError {
 	now := x.handler.timer.Now()
 	previous := x.slot.Server.Name
 	x.slot = server.Result{}
-	x.choice = x.work.ChooseSite(x.place, x.home, now)
+	x.choice = x.classRoute.ChooseSite(x.location, x.home, now)
 	if x.choice.Err != nil {
-		return &attemptError{RequestError: x.choice.Err, status: http.StatusServiceUnavailable, retryAfter: x.choice.RetryAfter, refused: true}
+		return &attemptError{RequestError: x.choice.Err, status: http.StatusServiceUnavailable, retryAfter: x.choice.RetryAfter, final: true}
 	}
 	if failure := x.acquire(now, previous); failure != nil {
 		return failure
@@ -169,12 +170,12 @@
 	return x.send()
 }
 
-// acquire waits for a slot at a backend server of the chosen site.
+// acquire waits for a slot on a backend server of the chosen site.
 func (x *exchange) acquire(now time.Time, avoid string) *attemptError {
 	result, waiter := x.choice.Pool.Acquire(server.Request{
 		Now:        now,
 		Deadline:   x.deadline,
-		Importance: x.work.Class.Importance,
+		Importance: x.classRoute.Class.Importance,
 		Avoid:      avoid,
 	})
 	if waiter != nil {
@@ -185,7 +186,7 @@
 			RequestError: result.Err,
 			status:       http.StatusServiceUnavailable,
 			retryAfter:   result.RetryAfter,
-			refused:      true,
+			final:        true,
 		}
 	}
 	x.slot = result
@@ -204,25 +205,25 @@
 	return <-w.Result()
 }
 
-// send sends the request to the acquired server and passes the answer on.
+// send sends the request to the acquired server and forwards the answer.
 func (x *exchange) send() *attemptError {
 	ctx, cancel := x.attemptContext()
 	defer cancel()
 	started := x.handler.timer.Now()
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{Got1xxResponse: x.passHint})
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{Got1xxResponse: x.forwardEarlyHint})
 	response, err := x.handler.backend.Stream(x.outgoing(ctx), x.slot.Server)
 	if err != nil {
 		x.release(started, lovageyard.Outcome{Failed: true})
-		if x.isServersFault(ctx, started) {
+		if x.isServerFault(ctx, started) {
 			x.choice.Pool.MarkUnreachable(x.slot.Server.Name)
 		}
-		return x.failed(err)
+		return x.newAttemptError(err)
 	}
 	defer response.Body.Close()
 	answer := lovageyard.Outcome{}
 	answer.Report, answer.Reported = link.ReportOf(response.Header)
 	if answer.Report.Leaving {
-		x.handler.watcher.ServerLeaving(x.work.Class.Service, x.choice.Site, x.slot.Server.Name)
+		x.handler.observer.ServerLeaving(x.classRoute.Class.Service, x.choice.Site, x.slot.Server.Name)
 	}
 	if notRun(response) {
 		answer.Failed = true
@@ -230,32 +231,32 @@
 		failure := lovageyard.NotRun("the backend server refused the request", nil)
 		return &attemptError{RequestError: failure, status: http.StatusServiceUnavailable, retryAfter: time.Second}
 	}
-	failure := x.pass(response, func(failed bool) {
+	failure := x.forwardAnswer(response, func(failed bool) {
 		answer.Failed = failed
 		x.release(started, answer)
 	})
 	return failure
 }
 
-// isServersFault says whether a failed attempt speaks against the server: not if the
-// caller went away, and not if it left the server too little time.
-func (x *exchange) isServersFault(ctx context.Context, started time.Time) bool {
+// isServerFault reports whether a failed attempt counts against the server. It does not if the caller
+// disconnected, or if the deadline left the server too little time.
+func (x *exchange) isServerFault(ctx context.Context, started time.Time) bool {
 	if x.request.Context().Err() == context.Canceled {
 		return false
 	}
 	if ctx.Err() == nil {
 		return true
 	}
-	patience := max(leastPatience, patienceMeans*x.slot.Mean)
+	patience := max(minPatience, patienceFactor*x.slot.Mean)
 	return x.handler.timer.Now().Sub(started) >= patience
 }
 
-// notRun says whether a backend server's answer says that it did not run the request.
+// notRun reports whether the backend server's answer says that it did not run the request.
 func notRun(r *http.Response) bool {
 	return r.StatusCode == http.StatusServiceUnavailable && r.Header.Get(lovageyard.VerdictHeader) == string(lovageyard.VerdictNotRun)
 }
 
-func (x *exchange) failed(err error) *attemptError {
+func (x *exchange) newAttemptError(err error) *attemptError {
 	var failure *lovageyard.RequestError
 	if !errors.As(err, &failure) {
 		failure = lovageyard.MayHaveRun("the backend server did not answer", err)
@@ -267,10 +268,11 @@
 	return &attemptError{RequestError: failure, status: status}
 }
 
-// attemptContext leaves time for a further attempt, if one would be allowed.
+// attemptContext returns the context of one attempt. If another attempt may follow, the context ends at half
+// of the remaining time.
 func (x *exchange) attemptContext() (context.Context, context.CancelFunc) {
 	ctx := x.request.Context()
-	if !x.work.Class.Idempotent || x.attempt >= maxAttempts || !x.body.whole() {
+	if !x.classRoute.Class.Idempotent || x.attempt >= maxAttempts || !x.body.isComplete() {
 		return context.WithCancel(ctx)
 	}
 	left := x.deadline.Sub(x.handler.timer.Now())
@@ -283,7 +285,7 @@
 	x.choice.Pool.Release(x.slot, a)
 }
 
-// outgoing returns the request as the backend server gets it.
+// outgoing returns the request to send to the backend server.
 func (x *exchange) outgoing(ctx context.Context) *http.Request {
 	out := x.request.Clone(ctx)
 	out.RequestURI = ""
@@ -291,7 +293,7 @@
 	out.Header.Del("Expect")
 	addForwardedFor(out.Header, x.request)
 	if out.Header.Get("User-Agent") == "" {
-		// An absent header would make the transport name itself.
+		// Without this, the transport would add a User-Agent of its own.
 		out.Header["User-Agent"] = nil
 	}
 	left := max(1, x.deadline.Sub(x.handler.timer.Now()).Milliseconds())
@@ -301,11 +303,11 @@
 	out.Close = false
 	out.TransferEncoding = nil
 	out.Trailer = x.request.Trailer
-	x.body.attach(out, x.request.ContentLength, x.work.Class.Idempotent)
+	x.body.attach(out, x.request.ContentLength, x.classRoute.Class.Idempotent)
 	return out
 }
 
-// finish gives the caller the failure that no attempt may follow.
+// finish sends the response for a failure without retry.
 func (x *exchange) finish(failure *attemptError) {
 	ctx := x.request.Context()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -323,20 +325,20 @@
 }
 
 func (x *exchange) count(name string) {
-	metrics.GetOrRegisterCounter("class."+x.work.Class.Name+"."+name, x.handler.metrics).Inc(1)
+	metrics.GetOrRegisterCounter("class."+x.classRoute.Class.Name+"."+name, x.handler.metrics).Inc(1)
 }
 
-// record writes the decision on one attempt to the log.
+// record writes the log line of one attempt.
 func (x *exchange) record(failure *attemptError, status int) {
 	d := lovageyard.Decision{
 		Kind:       "route",
-		Class:      x.work.Class.Name,
-		Block:      x.place.Block.String(),
+		Class:      x.classRoute.Class.Name,
+		Block:      x.location.Block.String(),
 		Home:       x.home,
-		Bucket:     x.place.Bucket,
+		Bucket:     x.location.Bucket,
 		Site:       x.choice.Site,
 		Server:     x.slot.Server.Name,
-		PlanStep:   x.work.Step,
+		PlanStep:   x.classRoute.Step,
 		Attempt:    x.attempt,
 		Reason:     x.choice.Reason,
 		Status:     status,
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -17,17 +17,17 @@
 	"lovageyard.example/lovageyard/route"
 )
 
-// Source gives the snapshot in force.
+// Source provides the current routing snapshot.
 type Source interface {
 	Snapshot() *route.Snapshot
 }
 
-// Watcher is told when a backend server said that it is leaving, or could not be reached.
-type Watcher interface {
+// ServerObserver is notified when a backend server reports in an answer that it is leaving.
+type ServerObserver interface {
 	ServerLeaving(service, site, server string)
 }
 
-// Charges keeps the claims of requests that must run at most once.
+// Charges stores the claims of requests that must run at most once.
 type Charges interface {
 	Claim(ctx context.Context, r charge.Request) (*charge.HeldClaim, *charge.Answer, error)
 	Record(h *charge.HeldClaim, a charge.Answer)
@@ -35,10 +35,10 @@
 	MarkUnknown(h *charge.HeldClaim)
 }
 
-// Handler answers callers.
+// Handler handles the requests of callers.
 type Handler struct {
 	source   Source
-	watcher  Watcher
+	observer ServerObserver
 	charges  Charges
 	backend  lovageyard.Backend
 	timer    lovageyard.Timer
@@ -47,10 +47,10 @@
 	self     lovageyard.EntryInstance
 }
 
-// Settings are what a Handler is made of.
+// Settings are the dependencies of a Handler; all of them are required.
 type Settings struct {
 	Source   Source
-	Watcher  Watcher
+	Observer ServerObserver
 	Charges  Charges
 	Backend  lovageyard.Backend
 	Timer    lovageyard.Timer
@@ -59,11 +59,11 @@
 	Self     lovageyard.EntryInstance
 }
 
-// NewHandler returns a handler.
+// NewHandler returns a Handler, which is safe for concurrent use.
 func NewHandler(p Settings) *Handler {
 	return &Handler{
 		source:   p.Source,
-		watcher:  p.Watcher,
+		observer: p.Observer,
 		charges:  p.Charges,
 		backend:  p.Backend,
 		timer:    p.Timer,
@@ -86,11 +86,11 @@
 	h.forward(w, r, snapshot)
 }
 
-// Failure is the body of every refusal and failure.
+// Failure is the body of every response that the handler generates for a refused or failed request.
 type Failure struct {
 	Error   string             `json:"error"`
 	Verdict lovageyard.Verdict `json:"verdict"`
-	// RetryAfterMs is when to come back, in milliseconds, if that would help.
+	// RetryAfterMs is the retry time in milliseconds, or 0 if a retry would not help.
 	RetryAfterMs int64 `json:"retry-after-ms,omitempty"`
 }
 
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -11,7 +11,7 @@
 	}
 }
 
-// addForwardedFor adds the caller's address to the list of those that the request came through.
+// addForwardedFor appends the caller's address to X-Forwarded-For.
 func addForwardedFor(h http.Header, r *http.Request) {
 	address := remoteAddr(r)
 	if !address.IsValid() {
--- a/caller/lookup.go
+++ b/caller/lookup.go
@@ -12,16 +12,16 @@
 	"lovageyard.example/lovageyard/route"
 )
 
-// LookUp is the answer to a look-up.
+// LookUp is the response body of a look-up.
 type LookUp struct {
 	Class   string `json:"class"`
 	Version int64  `json:"version"`
-	// KeepForMs is how long the answer may be kept, in milliseconds.
+	// KeepForMs is how long the response may be cached, in milliseconds.
 	KeepForMs int64            `json:"keep-for-ms"`
 	Instances []LookUpInstance `json:"instances"`
 }
 
-// LookUpInstance is one entry instance in an answer, best first.
+// LookUpInstance is one entry instance in a LookUp; instances are in order of preference.
 type LookUpInstance struct {
 	Instance      string `json:"instance"`
 	Address       string `json:"address"`
--- a/charge/book.go
+++ b/charge/book.go
@@ -14,68 +14,72 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Bounds of the book's work at the platform.
+// Bounds of the writes to the platform: the attempts to read a claim back, the timeout of one write, the
+// interval and total time of its retries, and the number of writes that wait for a retry.
 const (
-	readBacks    = 3
-	recordWithin = 500 * time.Millisecond
-	retryEvery   = time.Second
-	retryFor     = 10 * time.Minute
-	backlogSize  = 4096
+	maxReadAttempts = 3
+	writeTimeout    = 500 * time.Millisecond
+	retryInterval   = time.Second
+	retryTimeout    = 10 * time.Minute
+	backlogSize     = 4096
 )
 
-// reasonUnclaimed tells a caller what its verdict does and does not say.
+// reasonUnclaimed says what the verdict covers: this request has not run, but an earlier one with the same key
+// may have.
 const reasonUnclaimed = "the key could not be claimed, so that this request was not sent; of earlier requests with the key nothing is known now"
 
-// Errors of Claim, besides a *lovageyard.RequestError.
+// Errors of Claim other than *lovageyard.RequestError.
 var (
-	// ErrKeyReused reports a key that another request has used.
+	// ErrKeyReused reports a key that was used with a different method, target or body.
 	ErrKeyReused = errors.New("the key was used for another request")
 )
 
-// HeldClaim is a claim that this instance holds: only its request may be sent.
+// HeldClaim is a claim that this instance holds. It permits the instance to send the request.
 type HeldClaim struct {
 	Claim
 	version int64
 }
 
-// Store keeps the claims of one entry instance in the platform's table.
+// Store stores the claims of one entry instance in the platform's table. It is safe for concurrent use.
 type Store struct {
-	table   lovageyard.Table
-	timer   lovageyard.Timer
-	holder  string
-	numbers atomic.Int64
-	backlog chan write
-	stop    chan struct{}
-	worker  sync.WaitGroup
+	table    lovageyard.Table
+	timer    lovageyard.Timer
+	holder   string
+	sequence atomic.Int64
+	backlog  chan pendingWrite
+	stop     chan struct{}
+	worker   sync.WaitGroup
 }
 
-// write is a change of a claim that could not be made at once.
-type write struct {
+// pendingWrite is an update of a claim that failed and is to be retried.
+type pendingWrite struct {
 	held  *HeldClaim
 	event string
 	since time.Time
 }
 
-// NewStore returns a book whose claims carry a holder's name. Close ends it.
+// NewStore returns a store whose claims carry a holder's name, which has to be unique to this incarnation of
+// the instance. Close releases its resources.
 func NewStore(table lovageyard.Table, timer lovageyard.Timer, holder string) *Store {
 	b := &Store{
 		table:   table,
 		timer:   timer,
 		holder:  holder,
-		backlog: make(chan write, backlogSize),
+		backlog: make(chan pendingWrite, backlogSize),
 		stop:    make(chan struct{}),
 	}
-	b.worker.Go(b.work)
+	b.worker.Go(b.retryLoop)
 	return b
 }
 
-// Close ends the retries and waits for them.
+// Close stops the retries and waits until they have returned.
 func (b *Store) Close() {
 	close(b.stop)
 	b.worker.Wait()
 }
 
-// Request is what a caller wants to run at most once.
+// Request describes a request that is to run at most once. SendBefore is the time after which it is not sent
+// any more.
 type Request struct {
 	Class      string
 	Key        string
@@ -83,8 +87,8 @@
 	SendBefore time.Time
 }
 
-// Claim claims a key. It returns the held claim; or the answer of an earlier run; or an
-// error: ErrOtherRequest, or a *lovageyard.RequestError with the verdict on the key.
+// Claim claims a key. It returns the held claim, or the answer of an earlier run, or an error: ErrKeyReused,
+// or a *lovageyard.RequestError whose verdict is on all requests with the key.
 func (b *Store) Claim(ctx context.Context, r Request) (*HeldClaim, *Answer, error) {
 	next := Claim{
 		Key:        r.Key,
@@ -92,38 +96,39 @@
 		State:      Claimed,
 		Hash:       r.Hash,
 		Attempt:    1,
-		Holder:     fmt.Sprintf("%s/%d", b.holder, b.numbers.Add(1)),
+		Holder:     fmt.Sprintf("%s/%d", b.holder, b.sequence.Add(1)),
 		ClaimedAt:  b.timer.Now(),
 		SendBefore: r.SendBefore,
 	}
-	held, taken, err := b.insert(ctx, next, 0)
+	held, row, err := b.insert(ctx, next, 0)
 	if err != nil || held != nil {
 		return held, nil, err
 	}
-	return b.judge(ctx, next, taken)
+	return b.resolveConflict(ctx, next, row)
 }
 
-// insert writes a claim under a row's version. It returns the row if another has it.
+// insert writes a claim if the row still has the given version. It returns the row if another request has
+// written it.
 func (b *Store) insert(ctx context.Context, c Claim, version int64) (*HeldClaim, lovageyard.Row, error) {
-	none := lovageyard.Row{}
+	noRow := lovageyard.Row{}
 	accepted, err := b.put(ctx, c, version)
 	var conflict *lovageyard.ConflictError
 	switch {
 	case err == nil:
-		return &HeldClaim{Claim: c, version: accepted}, none, nil
+		return &HeldClaim{Claim: c, version: accepted}, noRow, nil
 	case errors.As(err, &conflict):
 		return nil, conflict.Row, nil
 	case !errors.Is(err, lovageyard.ErrUnknownOutcome):
-		return nil, none, lovageyard.NotRun(reasonUnclaimed, err)
+		return nil, noRow, lovageyard.NotRun(reasonUnclaimed, err)
 	}
 	return b.readBack(ctx, c, err)
 }
 
-// readBack finds out what became of an insert whose answer was lost. If it can't, the
-// request is refused, and the row, should it exist, is released later.
+// readBack determines the outcome of an insert whose response was lost. If it cannot, the request is refused,
+// and the row is released later in case it exists.
 func (b *Store) readBack(ctx context.Context, c Claim, lost error) (*HeldClaim, lovageyard.Row, error) {
-	none := lovageyard.Row{}
-	for range readBacks {
+	noRow := lovageyard.Row{}
+	for range maxReadAttempts {
 		row, err := b.table.Read(ctx, lovageyard.TableClaims, RowKey(c.Class, c.Key))
 		if errors.Is(err, lovageyard.ErrNotFound) {
 			break
@@ -133,19 +138,19 @@
 		}
 		found, err := decode(row)
 		if err != nil {
-			return nil, none, lovageyard.NotRun("the claim could not be read", err)
+			return nil, noRow, lovageyard.NotRun("the claim could not be read", err)
 		}
 		if found.Holder == c.Holder {
-			return &HeldClaim{Claim: c, version: row.Version}, none, nil
+			return &HeldClaim{Claim: c, version: row.Version}, noRow, nil
 		}
 		return nil, row, nil
 	}
-	b.later(write{held: &HeldClaim{Claim: c}, event: eventRelease, since: b.timer.Now()})
-	return nil, none, lovageyard.NotRun(reasonUnclaimed, lost)
+	b.enqueue(pendingWrite{held: &HeldClaim{Claim: c}, event: eventRelease, since: b.timer.Now()})
+	return nil, noRow, lovageyard.NotRun(reasonUnclaimed, lost)
 }
 
-// judge answers a request whose key another request has claimed.
-func (b *Store) judge(ctx context.Context, next Claim, row lovageyard.Row) (*HeldClaim, *Answer, error) {
+// resolveConflict handles a request whose key another request has claimed.
+func (b *Store) resolveConflict(ctx context.Context, next Claim, row lovageyard.Row) (*HeldClaim, *Answer, error) {
 	known, err := decode(row)
 	if err != nil {
 		return nil, nil, lovageyard.NotRun("the claim could not be read", err)
@@ -157,12 +162,12 @@
 	case Recorded:
 		return nil, known.Answer, nil
 	case Released:
-		return b.claimAgain(ctx, next, known, row.Version)
+		return b.reclaim(ctx, next, known, row.Version)
 	}
 	return nil, nil, lovageyard.MayHaveRun("a request with this key is "+string(known.StateAt(b.timer.Now())), nil)
 }
 
-func (b *Store) claimAgain(ctx context.Context, next, known Claim, version int64) (*HeldClaim, *Answer, error) {
+func (b *Store) reclaim(ctx context.Context, next, known Claim, version int64) (*HeldClaim, *Answer, error) {
 	next.Attempt = known.Attempt + 1
 	held, _, err := b.insert(ctx, next, version)
 	if err == nil && held == nil {
@@ -171,36 +176,37 @@
 	return held, nil, err
 }
 
-// Record keeps the answer of a request that ran.
+// Record stores the answer of a request that ran.
 func (b *Store) Record(h *HeldClaim, a Answer) {
 	h.Answer = &a
-	b.change(h, eventRecord)
+	b.update(h, eventRecord)
 }
 
-// Release frees a key whose request did not run.
+// Release makes the key of a request that did not run available again.
 func (b *Store) Release(h *HeldClaim) {
-	b.change(h, eventRelease)
+	b.update(h, eventRelease)
 }
 
-// MarkUnknown notes that a request may have run.
+// MarkUnknown records that a request may have run. An operator has to settle its claim.
 func (b *Store) MarkUnknown(h *HeldClaim) {
-	b.change(h, eventLose)
+	b.update(h, eventLose)
 }
 
-// change makes a change now, or later if the platform does not take it.
-func (b *Store) change(h *HeldClaim, event string) {
-	ctx, cancel := context.WithTimeout(context.Background(), recordWithin)
+// update writes an update now, or schedules it for a retry if the platform does not accept it.
+func (b *Store) update(h *HeldClaim, event string) {
+	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
-	w := write{held: h, event: event, since: b.timer.Now()}
-	if !b.try(ctx, w) {
-		b.later(w)
+	w := pendingWrite{held: h, event: event, since: b.timer.Now()}
+	if !b.attempt(ctx, w) {
+		b.enqueue(w)
 	}
 }
 
-// try makes a change and says whether it is over: made, or overtaken by another.
-func (b *Store) try(ctx context.Context, w write) bool {
+// attempt tries an update once. It returns true if no retry is needed: the update was written, or superseded
+// by another.
+func (b *Store) attempt(ctx context.Context, w pendingWrite) bool {
 	c := w.held.Claim
-	if c.fire(w.event) != nil {
+	if c.apply(w.event) != nil {
 		return true
 	}
 	version := w.held.version
@@ -232,21 +238,21 @@
 	})
 }
 
-// later leaves a change to the worker; with a full backlog it is dropped, and the
-// claim becomes unknown by its age.
-func (b *Store) later(w write) {
+// enqueue schedules an update for a retry. If the backlog is full the update is dropped; the claim then
+// becomes unknown by its age.
+func (b *Store) enqueue(w pendingWrite) {
 	select {
 	case b.backlog <- w:
 	default:
 	}
 }
 
-// work retries the changes of the backlog.
-func (b *Store) work() {
+// retryLoop retries the updates in the backlog.
+func (b *Store) retryLoop() {
 	for {
 		select {
 		case w := <-b.backlog:
-			if !b.retry(w) {
+			if !b.retryWrite(w) {
 				return
 			}
 		case <-b.stop:
@@ -255,21 +261,22 @@
 	}
 }
 
-// retry repeats a change until it is over or too old; it returns false once the book ends.
-func (b *Store) retry(w write) bool {
-	for b.timer.Now().Sub(w.since) < retryFor {
-		ctx, cancel := context.WithTimeout(context.Background(), recordWithin)
-		over := b.try(ctx, w)
+// retryWrite retries an update until it succeeds or retryTimeout has passed. It returns false if the store is
+// closed.
+func (b *Store) retryWrite(w pendingWrite) bool {
+	for b.timer.Now().Sub(w.since) < retryTimeout {
+		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
+		done := b.attempt(ctx, w)
 		cancel()
-		if over {
+		if done {
 			return true
 		}
-		pause := b.timer.After(retryEvery)
+		timer := b.timer.After(retryInterval)
 		select {
-		case <-pause.C():
-			pause.Close()
+		case <-timer.C():
+			timer.Close()
 		case <-b.stop:
-			pause.Close()
+			timer.Close()
 			return false
 		}
 	}
@@ -282,7 +289,8 @@
 	return c, errors.Wrap(err, "claim "+row.Key)
 }
 
-// List returns the claims whose state at the present time is the given one, or all for "".
+// List returns the claims that are in a state at the given time, or all claims for the empty state. Rows that
+// cannot be decoded are skipped.
 func List(ctx context.Context, table lovageyard.Table, state State, now time.Time) ([]Claim, error) {
 	changes, err := table.Changes(ctx, []string{lovageyard.TableClaims}, 0)
 	if err != nil {
@@ -302,7 +310,7 @@
 	return claims, nil
 }
 
-// Get returns the claim of a row's key.
+// Get returns the claim with a row key, and the version of its row.
 func Get(ctx context.Context, table lovageyard.Table, rowKey string) (Claim, int64, error) {
 	row, err := table.Read(ctx, lovageyard.TableClaims, rowKey)
 	if err != nil {
@@ -312,18 +320,19 @@
 	return c, row.Version, err
 }
 
-// Settle returns an unknown claim as an operator settles it: as having run, or not.
+// Settle returns an unknown claim as settled by an operator, as having run or not. It returns an error if the
+// claim is not unknown.
 func Settle(c Claim, ran bool, operator string, now time.Time) (Claim, error) {
 	c.State = c.StateAt(now)
 	if c.State != Unknown {
-		return c, errors.Wrapf(errState, "only an unknown claim can be settled, this one is %s", c.State)
+		return c, errors.Wrapf(errTransition, "only an unknown claim can be settled, this one is %s", c.State)
 	}
 	event := eventRelease
 	if ran {
 		event = eventRecord
-		c.Answer = &Answer{Status: statusSettled}
+		c.Answer = &Answer{Status: settledStatus}
 	}
-	if err := c.fire(event); err != nil {
+	if err := c.apply(event); err != nil {
 		return c, err
 	}
 	c.SettledBy = strings.TrimSpace(operator)
@@ -331,5 +340,5 @@
 	return c, nil
 }
 
-// statusSettled is the status of the answer to a key that an operator settled as run.
-const statusSettled = 200
+// settledStatus is the status of the recorded answer of a claim that an operator settled as run.
+const settledStatus = 200
--- a/charge/book_test.go
+++ b/charge/book_test.go
@@ -19,8 +19,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// faulty is a table with the platform's faults.
-type faulty struct {
+// faultyTable is a table with injected faults.
+type faultyTable struct {
 	*memory.Store
 
 	mu         sync.Mutex
@@ -33,13 +33,13 @@
 
 var errDown = errors.New("down")
 
-func (f *faulty) set(change func()) {
+func (f *faultyTable) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-func (f *faulty) Transact(ctx context.Context, t lovageyard.Transaction) (int64, error) {
+func (f *faultyTable) Transact(ctx context.Context, t lovageyard.Transaction) (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.writes++
@@ -53,7 +53,7 @@
 	return version, err
 }
 
-func (f *faulty) Read(ctx context.Context, table, key string) (lovageyard.Row, error) {
+func (f *faultyTable) Read(ctx context.Context, table, key string) (lovageyard.Row, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down || f.unreadable {
@@ -62,188 +62,189 @@
 	return f.Store.Read(ctx, table, key)
 }
 
-type rig struct {
+type harness struct {
 	c     *qt.C
-	table *faulty
+	table *faultyTable
 	clock *timer.Manual
 	a, b  *Store
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{c: qt.New(t), table: &faulty{Store: memory.NewStore()}, clock: timer.NewManual(time.Unix(1000, 0))}
-	r.a = NewStore(r.table, r.clock, "a/1")
-	r.b = NewStore(r.table, r.clock, "b/1")
-	t.Cleanup(r.a.Close)
-	t.Cleanup(r.b.Close)
-	return r
+func newHarness(t *testing.T) *harness {
+	h := &harness{c: qt.New(t), table: &faultyTable{Store: memory.NewStore()}, clock: timer.NewManual(time.Unix(1000, 0))}
+	h.a = NewStore(h.table, h.clock, "a/1")
+	h.b = NewStore(h.table, h.clock, "b/1")
+	t.Cleanup(h.a.Close)
+	t.Cleanup(h.b.Close)
+	return h
 }
 
-func (r *rig) claim(b *Store, hash string) (*HeldClaim, *Answer, error) {
+func (h *harness) claim(b *Store, hash string) (*HeldClaim, *Answer, error) {
 	return b.Claim(context.Background(), Request{
-		Class: "charges", Key: "key-1", Hash: hash, SendBefore: r.clock.Now().Add(3 * time.Second),
+		Class: "charges", Key: "key-1", Hash: hash, SendBefore: h.clock.Now().Add(3 * time.Second),
 	})
 }
 
-func (r *rig) state() State {
-	c, _, err := Get(context.Background(), r.table.Store, RowKey("charges", "key-1"))
+func (h *harness) state() State {
+	c, _, err := Get(context.Background(), h.table.Store, RowKey("charges", "key-1"))
 	if err != nil {
 		return ""
 	}
-	return c.StateAt(r.clock.Now())
+	return c.StateAt(h.clock.Now())
 }
 
-// TestSecondRequest gives a second instance the same key after each fate of the first.
+// TestSecondRequest sends a request with the same key from a second instance, after each outcome of the first.
 func TestSecondRequest(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		fate func(r *rig, h *HeldClaim)
-		// what the second request gets: held, an answer, or a verdict.
-		held    bool
+		name    string
+		outcome func(h *harness, held *HeldClaim)
+		// The result of the second request: a held claim, an answer, or a verdict.
+		claim   bool
 		status  int
 		verdict lovageyard.Verdict
 	}{
-		{"holder still sending", func(*rig, *HeldClaim) {}, false, 0, lovageyard.VerdictMayHaveRun},
-		{"holder died", func(r *rig, _ *HeldClaim) { r.clock.Advance(time.Minute) }, false, 0, lovageyard.VerdictMayHaveRun},
-		{"recorded", func(r *rig, h *HeldClaim) { r.a.Record(h, Answer{Status: 201, Whole: true}) }, false, 201, ""},
-		{"released", func(r *rig, h *HeldClaim) { r.a.Release(h) }, true, 0, ""},
-		{"lost", func(r *rig, h *HeldClaim) { r.a.MarkUnknown(h) }, false, 0, lovageyard.VerdictMayHaveRun},
-		{"recorded with the answer lost", func(r *rig, h *HeldClaim) {
-			r.table.set(func() { r.table.lostAfter = true })
-			r.a.Record(h, Answer{Status: 201, Whole: true})
-			r.table.set(func() { r.table.lostAfter = false })
+		{"holder still sending", func(*harness, *HeldClaim) {}, false, 0, lovageyard.VerdictMayHaveRun},
+		{"holder died", func(h *harness, _ *HeldClaim) { h.clock.Advance(time.Minute) }, false, 0, lovageyard.VerdictMayHaveRun},
+		{"recorded", func(h *harness, held *HeldClaim) { h.a.Record(held, Answer{Status: 201, Whole: true}) }, false, 201, ""},
+		{"released", func(h *harness, held *HeldClaim) { h.a.Release(held) }, true, 0, ""},
+		{"lost", func(h *harness, held *HeldClaim) { h.a.MarkUnknown(held) }, false, 0, lovageyard.VerdictMayHaveRun},
+		{"recorded with the answer lost", func(h *harness, held *HeldClaim) {
+			h.table.set(func() { h.table.lostAfter = true })
+			h.a.Record(held, Answer{Status: 201, Whole: true})
+			h.table.set(func() { h.table.lostAfter = false })
 		}, false, 201, ""},
-		{"platform down when it was to be recorded", func(r *rig, h *HeldClaim) {
-			r.table.set(func() { r.table.down = true })
-			r.a.Record(h, Answer{Status: 201, Whole: true})
-			r.table.set(func() { r.table.down = false })
+		{"platform down when it was to be recorded", func(h *harness, held *HeldClaim) {
+			h.table.set(func() { h.table.down = true })
+			h.a.Record(held, Answer{Status: 201, Whole: true})
+			h.table.set(func() { h.table.down = false })
 		}, false, 0, lovageyard.VerdictMayHaveRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t)
-			held, answer, err := r.claim(r.a, "hash")
-			r.c.Assert(err, qt.IsNil)
-			r.c.Assert(answer, qt.IsNil)
-			test.fate(r, held)
-			held, answer, err = r.claim(r.b, "hash")
-			r.c.Assert(held != nil, qt.Equals, test.held)
+			h := newHarness(t)
+			claim, answer, err := h.claim(h.a, "hash")
+			h.c.Assert(err, qt.IsNil)
+			h.c.Assert(answer, qt.IsNil)
+			test.outcome(h, claim)
+			claim, answer, err = h.claim(h.b, "hash")
+			h.c.Assert(claim != nil, qt.Equals, test.claim)
 			if test.status != 0 {
-				r.c.Assert(answer.Status, qt.Equals, test.status)
+				h.c.Assert(answer.Status, qt.Equals, test.status)
 			}
 			if test.verdict != "" {
-				r.c.Assert(lovageyard.VerdictOf(err), qt.Equals, test.verdict)
+				h.c.Assert(lovageyard.VerdictOf(err), qt.Equals, test.verdict)
 			}
-			_, _, err = r.claim(r.b, "other hash")
-			r.c.Assert(err, qt.Equals, ErrKeyReused)
+			_, _, err = h.claim(h.b, "other hash")
+			h.c.Assert(err, qt.Equals, ErrKeyReused)
 		})
 	}
 }
 
-// TestFaultsOfTheInsert checks that a claim is held only if its row is known to be there.
-func TestFaultsOfTheInsert(t *testing.T) {
+// TestInsertFaults checks that a claim is held only if its row is known to exist.
+func TestInsertFaults(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		fault func(f *faulty)
-		held  bool
+		fault func(f *faultyTable)
+		claim bool
 	}{
-		{"none", func(*faulty) {}, true},
-		{"down", func(f *faulty) { f.down = true }, false},
-		{"lost before it took effect", func(f *faulty) { f.lostBefore = true }, false},
-		{"lost after it took effect", func(f *faulty) { f.lostAfter = true }, true},
-		{"lost and unreadable", func(f *faulty) { f.lostAfter, f.unreadable = true, true }, false},
+		{"none", func(*faultyTable) {}, true},
+		{"down", func(f *faultyTable) { f.down = true }, false},
+		{"lost before it took effect", func(f *faultyTable) { f.lostBefore = true }, false},
+		{"lost after it took effect", func(f *faultyTable) { f.lostAfter = true }, true},
+		{"lost and unreadable", func(f *faultyTable) { f.lostAfter, f.unreadable = true, true }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t)
-			r.table.set(func() { test.fault(r.table) })
-			held, _, err := r.claim(r.a, "hash")
-			r.c.Assert(held != nil, qt.Equals, test.held)
-			if !test.held {
-				r.c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
+			h := newHarness(t)
+			h.table.set(func() { test.fault(h.table) })
+			claim, _, err := h.claim(h.a, "hash")
+			h.c.Assert(claim != nil, qt.Equals, test.claim)
+			if !test.claim {
+				h.c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
 			}
 		})
 	}
 }
 
-// TestRefusedClaimIsReleasedLater checks that a refused request does not block its key.
+// TestRefusedClaimIsReleasedLater checks that a key does not stay blocked if the request was refused because
+// the outcome of the insert is unknown.
 func TestRefusedClaimIsReleasedLater(t *testing.T) {
-	r := newRig(t)
-	r.table.set(func() { r.table.lostAfter, r.table.unreadable = true, true })
-	_, _, err := r.claim(r.a, "hash")
-	r.c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
-	r.table.set(func() { r.table.lostAfter, r.table.unreadable = false, false })
-	r.until(func() bool { return r.state() == Released })
-	held, _, err := r.claim(r.b, "hash")
-	r.c.Assert(err, qt.IsNil)
-	r.c.Assert(held.Attempt, qt.Equals, int64(2))
+	h := newHarness(t)
+	h.table.set(func() { h.table.lostAfter, h.table.unreadable = true, true })
+	_, _, err := h.claim(h.a, "hash")
+	h.c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
+	h.table.set(func() { h.table.lostAfter, h.table.unreadable = false, false })
+	h.until(func() bool { return h.state() == Released })
+	claim, _, err := h.claim(h.b, "hash")
+	h.c.Assert(err, qt.IsNil)
+	h.c.Assert(claim.Attempt, qt.Equals, int64(2))
 }
 
-// TestRecordIsRetried checks that an answer is recorded once the platform is back.
+// TestRecordIsRetried checks that an answer is recorded once the platform is available again.
 func TestRecordIsRetried(t *testing.T) {
-	r := newRig(t)
-	held, _, err := r.claim(r.a, "hash")
-	r.c.Assert(err, qt.IsNil)
-	r.table.set(func() { r.table.down = true })
-	r.a.Record(held, Answer{Status: 200, Whole: true})
-	r.table.set(func() { r.table.down = false })
-	r.until(func() bool { return r.state() == Recorded })
+	h := newHarness(t)
+	claim, _, err := h.claim(h.a, "hash")
+	h.c.Assert(err, qt.IsNil)
+	h.table.set(func() { h.table.down = true })
+	h.a.Record(claim, Answer{Status: 200, Whole: true})
+	h.table.set(func() { h.table.down = false })
+	h.until(func() bool { return h.state() == Recorded })
 }
 
-// until moves the time on until a condition holds.
-func (r *rig) until(holds func() bool) {
+// until advances the clock until a condition holds.
+func (h *harness) until(holds func() bool) {
 	for range 2000 {
 		if holds() {
 			return
 		}
-		r.clock.Advance(retryEvery / 10)
+		h.clock.Advance(retryInterval / 10)
 		time.Sleep(time.Millisecond)
 	}
-	r.c.Fatal("the condition did not come about")
+	h.c.Fatal("the condition did not come about")
 }
 
-// TestRace lets many requests claim one key at once: exactly one holds it.
-func TestRace(t *testing.T) {
-	r := newRig(t)
-	var racing sync.WaitGroup
+// TestConcurrentClaims claims one key many times concurrently; exactly one request gets it.
+func TestConcurrentClaims(t *testing.T) {
+	h := newHarness(t)
+	var claimers sync.WaitGroup
 	holders := make(chan *HeldClaim, 20)
 	for n := range 20 {
-		racing.Go(func() {
-			book := r.a
+		claimers.Go(func() {
+			book := h.a
 			if n%2 == 0 {
-				book = r.b
+				book = h.b
 			}
-			if held, _, _ := r.claim(book, "hash"); held != nil {
-				holders <- held
+			if claim, _, _ := h.claim(book, "hash"); claim != nil {
+				holders <- claim
 			}
 		})
 	}
-	racing.Wait()
-	r.c.Assert(len(holders), qt.Equals, 1)
+	claimers.Wait()
+	h.c.Assert(len(holders), qt.Equals, 1)
 }
 
 func TestSettle(t *testing.T) {
-	r := newRig(t)
+	h := newHarness(t)
 	ctx := context.Background()
-	held, _, err := r.claim(r.a, "hash")
-	r.c.Assert(err, qt.IsNil)
-	_, err = Settle(held.Claim, true, "olle", r.clock.Now())
-	r.c.Assert(err, qt.ErrorMatches, ".*only an unknown claim.*")
-	r.a.MarkUnknown(held)
-	list, err := List(ctx, r.table, Unknown, r.clock.Now())
-	r.c.Assert(err, qt.IsNil)
-	r.c.Assert(list, qt.HasLen, 1)
+	claim, _, err := h.claim(h.a, "hash")
+	h.c.Assert(err, qt.IsNil)
+	_, err = Settle(claim.Claim, true, "olle", h.clock.Now())
+	h.c.Assert(err, qt.ErrorMatches, ".*only an unknown claim.*")
+	h.a.MarkUnknown(claim)
+	list, err := List(ctx, h.table, Unknown, h.clock.Now())
+	h.c.Assert(err, qt.IsNil)
+	h.c.Assert(list, qt.HasLen, 1)
 	for _, ran := range []bool{true, false} {
-		settled, err := Settle(list[0], ran, "olle", r.clock.Now())
-		r.c.Assert(err, qt.IsNil)
-		r.c.Assert(settled.SettledBy, qt.Equals, "olle")
-		r.c.Assert(settled.State == Recorded, qt.Equals, ran)
+		settled, err := Settle(list[0], ran, "olle", h.clock.Now())
+		h.c.Assert(err, qt.IsNil)
+		h.c.Assert(settled.SettledBy, qt.Equals, "olle")
+		h.c.Assert(settled.State == Recorded, qt.Equals, ran)
 	}
 }
 
-func TestWritesOfOneCharge(t *testing.T) {
-	r := newRig(t)
-	held, _, err := r.claim(r.a, "hash")
-	r.c.Assert(err, qt.IsNil)
-	r.a.Record(held, Answer{Status: 200, Whole: true})
-	r.c.Assert(r.table.writes, qt.Equals, 2)
+func TestWritesPerCharge(t *testing.T) {
+	h := newHarness(t)
+	claim, _, err := h.claim(h.a, "hash")
+	h.c.Assert(err, qt.IsNil)
+	h.a.Record(claim, Answer{Status: 200, Whole: true})
+	h.c.Assert(h.table.writes, qt.Equals, 2)
 }
 
 func TestCheckKey(t *testing.T) {
--- a/charge/claim.go
+++ b/charge/claim.go
@@ -12,22 +12,22 @@
 	"github.com/pkg/errors"
 )
 
-// State is what is known of a claimed request.
+// State is the state of a claimed request.
 type State string
 
 // The states of a claim.
 const (
-	// Claimed: its holder may be sending it.
+	// Claimed means that the holder may be sending the request.
 	Claimed State = "claimed"
-	// Recorded: it ran, and its answer is kept.
+	// Recorded means that the request ran and its answer is stored.
 	Recorded State = "recorded"
-	// Released: it did not run; the next request with the key may claim it.
+	// Released means that the request did not run; the next request with the key may claim it.
 	Released State = "released"
-	// Unknown: it may have run; an operator has to settle it.
+	// Unknown means that the request may have run; an operator has to settle the claim.
 	Unknown State = "unknown"
 )
 
-// The events of a claim.
+// The events of the state machine.
 const (
 	eventClaim   = "claim"
 	eventRecord  = "record"
@@ -35,43 +35,43 @@
 	eventLose    = "lose"
 )
 
-// MaxClockSkew is the largest difference of two clocks that the rules allow for.
+// MaxClockSkew is the largest difference between the clocks of two machines that the protocol tolerates.
 const MaxClockSkew = 2 * time.Second
 
-// Errors of a transition that the state does not allow.
-var errState = errors.New("the claim's state does not allow that")
+// errTransition reports an event that the claim's state does not allow.
+var errTransition = errors.New("the claim's state does not allow that")
 
-// Claim is the value of a claim's row.
+// Claim is the value of a claim's row, encoded as JSON.
 type Claim struct {
 	Key   string `json:"key"`
 	Class string `json:"class"`
 	State State  `json:"state"`
-	// Hash stands for the request's method, target and body.
+	// Hash identifies the request's method, target and body; see HashRequest.
 	Hash string `json:"hash"`
-	// Attempt counts the times that the key was claimed.
+	// Attempt is the number of times the key has been claimed.
 	Attempt int64 `json:"attempt"`
-	// Holder names the request at the instance that claimed the key.
+	// Holder identifies the request at the instance that claimed the key.
 	Holder string `json:"holder"`
-	// ClaimedAt and SendBefore are by the holder's clock; nothing is sent after SendBefore.
+	// ClaimedAt and SendBefore are readings of the holder's clock. Nothing is sent after SendBefore.
 	ClaimedAt  time.Time `json:"claimed-at"`
 	SendBefore time.Time `json:"send-before"`
 	Answer     *Answer   `json:"answer,omitempty"`
-	// SettledBy and SettledAt tell which operator settled an unknown claim, and when.
+	// SettledBy and SettledAt are the operator who settled an unknown claim, and the time.
 	SettledBy string    `json:"settled-by,omitempty"`
 	SettledAt time.Time `json:"settled-at,omitzero"`
 }
 
-// Answer is the kept answer of a request that ran.
+// Answer is the stored answer of a request that ran.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
-	// Whole says that Body is all of it; a long answer is not kept.
+	// Whole reports whether Body is complete; the body of a long answer is not stored.
 	Whole bool `json:"whole"`
 }
 
-// StateAt returns the claim's state at a time: a claim whose holder may send no more,
-// by any clock, and that says nothing is unknown.
+// StateAt returns the claim's state at a time. A claim without an outcome is unknown once its holder can no
+// longer send the request, whatever the skew of the clocks.
 func (c *Claim) StateAt(now time.Time) State {
 	if c.State == Claimed && now.After(c.SendBefore.Add(2*MaxClockSkew)) {
 		return Unknown
@@ -79,8 +79,8 @@
 	return c.State
 }
 
-// fire applies an event to the claim's state.
-func (c *Claim) fire(event string) error {
+// apply applies an event to the claim's state, or returns an error if the state does not allow it.
+func (c *Claim) apply(event string) error {
 	m := fsm.NewFSM(string(c.State), fsm.Events{
 		{Name: eventClaim, Src: []string{string(Released)}, Dst: string(Claimed)},
 		{Name: eventRecord, Src: []string{string(Claimed), string(Unknown)}, Dst: string(Recorded)},
@@ -88,13 +88,13 @@
 		{Name: eventLose, Src: []string{string(Claimed)}, Dst: string(Unknown)},
 	}, fsm.Callbacks{})
 	if err := m.Event(context.Background(), event); err != nil {
-		return errors.Wrapf(errState, "%s from %s", event, c.State)
+		return errors.Wrapf(errTransition, "%s from %s", event, c.State)
 	}
 	c.State = State(m.Current())
 	return nil
 }
 
-// HashRequest stands for a request: the same key with another hash is another request.
+// HashRequest returns a hash of a request, in hexadecimal. A key that is used with another hash is rejected.
 func HashRequest(method, target string, body []byte) string {
 	digest := sha256.New()
 	digest.Write([]byte(method + " " + target + "\n"))
@@ -102,15 +102,15 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// RowKey returns the key of the row of a class's key.
+// RowKey returns the row key of a claim. Keys of different classes are distinct.
 func RowKey(class, key string) string {
 	return class + "/" + key
 }
 
-// maxKey is the longest accepted key, in bytes.
+// maxKey is the maximum length of a key, in bytes.
 const maxKey = 255
 
-// CheckKey returns an error unless a caller's key is of printable ASCII and not too long.
+// CheckKey returns an error unless the key is non-empty printable ASCII without spaces, of at most 255 bytes.
 func CheckKey(key string) error {
 	if key == "" {
 		return errors.New("Idempotency-Key: a value is needed for this class")
--- a/class/check.go
+++ b/class/check.go
@@ -16,7 +16,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Bounds of a class's values.
+// Bounds of the values of a class.
 const (
 	MaxImportance = 9
 	MinInterval   = time.Second
@@ -37,24 +37,24 @@
 	http.MethodOptions,
 }
 
-// FieldError names the field of a class that is wrong, and what is accepted.
+// FieldError reports an invalid field of a class, and the values that are accepted.
 type FieldError struct {
 	Field    string
 	Accepted string
 }
 
-// Error returns the field's path and what it accepts.
+// Error returns the path of the field and the accepted values.
 func (e *FieldError) Error() string {
 	return e.Field + ": " + e.Accepted
 }
 
-// Decode reads one class from JSON and checks it; unknown fields are errors.
+// Decode decodes one class from JSON and checks it. Unknown fields are errors.
 func Decode(data []byte) (lovageyard.Class, error) {
 	var c lovageyard.Class
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&c); err != nil {
-		return c, describe(err)
+		return c, describeError(err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
 		return c, &FieldError{Field: "class", Accepted: "one JSON object, with nothing after it"}
@@ -62,7 +62,7 @@
 	return c, Check(c)
 }
 
-func describe(err error) error {
+func describeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
 		return &FieldError{Field: typeError.Field, Accepted: "a " + typeError.Type.String() + " is expected, not a " + typeError.Value}
@@ -74,7 +74,7 @@
 	return errors.New(strings.TrimPrefix(err.Error(), "json: "))
 }
 
-// Check returns a *FieldError for the first field of c that is wrong.
+// Check returns a *FieldError for the first invalid field of c, or nil.
 func Check(c lovageyard.Class) error {
 	if err := checkName("name", c.Name); err != nil {
 		return err
--- a/class/class_test.go
+++ b/class/class_test.go
@@ -9,7 +9,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-const goodClass = `{
+const validClass = `{
 	"name": "movement-lookups", "service": "movements", "idempotent": true, "deadline": "2s", "importance": 8,
 	"match": [{"path-prefix": "/movements/", "methods": ["GET"]}],
 	"target": {"cap": 0.1, "interval": "30s"}
@@ -21,11 +21,11 @@
 		data string
 		want string
 	}{
-		{"good", goodClass, ""},
+		{"good", validClass, ""},
 		{"no JSON", `{`, `.*unexpected end of JSON.*|unexpected EOF`},
 		{"unknown field", `{"weight": 3}`, `unknown field "weight"`},
 		{"wrong type", `{"importance": "high"}`, `importance: a int is expected, not a string`},
-		{"two objects", goodClass + goodClass, `class: one JSON object.*`},
+		{"two objects", validClass + validClass, `class: one JSON object.*`},
 		{"no name", `{}`, `name: lower-case.*`},
 		{"duration without unit", `{"deadline": 5}`, `duration 5 is not a string.*`},
 	} {
@@ -62,7 +62,7 @@
 	} {
 		t.Run(test.field, func(t *testing.T) {
 			c := qt.New(t)
-			k, err := Decode([]byte(goodClass))
+			k, err := Decode([]byte(validClass))
 			c.Assert(err, qt.IsNil)
 			test.change(&k)
 			err = Check(k)
@@ -96,7 +96,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(goodClass))
+	f.Add([]byte(validClass))
 	f.Add([]byte(`{"target": {"cap": 1e999}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		k, err := Decode(data)
--- a/class/index.go
+++ b/class/index.go
@@ -9,10 +9,10 @@
 	"lovageyard.example/lovageyard"
 )
 
-// LookUpPath is the path of the callers' listener that answers look-ups.
+// LookUpPath is the path for look-ups on the callers' listener. No class may use it as a path prefix.
 const LookUpPath = "/look-up"
 
-// Index finds the class of a request; it is immutable.
+// Index finds the class of a request. It is immutable and safe for concurrent use.
 type Index struct {
 	rules   []rule
 	classes []lovageyard.Class
@@ -23,7 +23,8 @@
 	class int
 }
 
-// NewIndex returns the index of the classes; a longer path prefix goes before a shorter one.
+// NewIndex returns an index of the classes. Rules with a longer path prefix take precedence, then those with a
+// longer host, then those with more methods.
 func NewIndex(classes []lovageyard.Class) *Index {
 	x := &Index{classes: slices.Clone(classes)}
 	slices.SortFunc(x.classes, func(a, b lovageyard.Class) int {
@@ -48,7 +49,7 @@
 	return len(b.match.Methods) - len(a.match.Methods)
 }
 
-// Find returns the class of a request, or nil.
+// Find returns the class of the first rule that matches the request, or nil.
 func (x *Index) Find(r *http.Request) *lovageyard.Class {
 	for i := range x.rules {
 		if matches(x.rules[i].match, r) {
@@ -58,18 +59,18 @@
 	return nil
 }
 
-// ByName returns the class of a name, or nil.
+// ByName returns the class with a name, or nil.
 func (x *Index) ByName(name string) *lovageyard.Class {
-	position, found := slices.BinarySearchFunc(x.classes, name, func(c lovageyard.Class, name string) int {
+	index, found := slices.BinarySearchFunc(x.classes, name, func(c lovageyard.Class, name string) int {
 		return strings.Compare(c.Name, name)
 	})
 	if !found {
 		return nil
 	}
-	return &x.classes[position]
+	return &x.classes[index]
 }
 
-// All returns the classes in the order of their names; callers do not change them.
+// All returns the classes ordered by name. Callers must not modify the slice.
 func (x *Index) All() []lovageyard.Class {
 	return x.classes
 }
--- a/decision/log.go
+++ b/decision/log.go
@@ -6,17 +6,17 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Log writes each decision as one log line with kebab-case fields.
+// Log writes each decision as one log line with kebab-case fields. It implements lovageyard.Recorder.
 type Log struct {
 	logger *logrus.Logger
 }
 
-// NewLog returns a Log that writes through a logger.
+// NewLog returns a Log that writes to a logger, at level info.
 func NewLog(logger *logrus.Logger) *Log {
 	return &Log{logger: logger}
 }
 
-// Record writes one line; fields that are empty are left out.
+// Record writes one line without the fields that are empty.
 func (l *Log) Record(d lovageyard.Decision) {
 	if !l.logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
--- a/decision/sink.go
+++ b/decision/sink.go
@@ -14,39 +14,38 @@
 
 // Limits of a Sink.
 const (
-	// maxPending is the size in bytes of the lines that wait to be written; routine lines
-	// get half of it.
+	// maxPending is the size in bytes of the buffer of unwritten lines; routine lines may use half of it.
 	maxPending = 1 << 20
-	// maxRate bounds what is written, in bytes a second; routine lines get half of it. A line
-	// has about 450 bytes, so that an instance with 100 requests a second writes 45,000.
+	// maxRate is the maximum output rate in bytes a second; routine lines may use half of it. A line has about
+	// 450 bytes, so that an instance with 100 requests a second writes 45,000.
 	maxRate = 1 << 20
-	// flushEvery gathers lines, as each write costs a system call.
-	flushEvery = 100 * time.Millisecond
-	// closeWithin bounds the last write, so that a stuck output does not keep an instance
-	// from ending in time: it has 7% of 6 s left then.
-	closeWithin = 200 * time.Millisecond
+	// flushInterval is how long lines are collected, as each write is a system call.
+	flushInterval = 100 * time.Millisecond
+	// closeTimeout bounds the last write, so that a blocked output does not prevent an instance from exiting
+	// in time: of its 6 s to shut down, 7% are left at that point.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Fields that tell a routine line from others.
+// Fields by which routine lines are recognized.
 const (
-	// FieldOutcome is the field that says how a request ended.
+	// FieldOutcome is the field with the outcome of a request.
 	FieldOutcome = "outcome"
 	// FieldStatus is the field with the status of an answer.
 	FieldStatus = "status"
-	// OutcomeAnswered says that the client got a server's answer.
+	// OutcomeAnswered is the outcome of a request whose client got a server's answer.
 	OutcomeAnswered = "answered"
 )
 
-// Dropped counts the lines that a Sink has dropped.
+// Dropped is the number of lines that a Sink has dropped.
 type Dropped struct {
-	// Routine counts requests that went well, Other all other lines.
+	// Routine counts the lines of successful requests, Other all other lines.
 	Routine int64
 	Other   int64
 }
 
-// Sink is a logrus hook that writes log lines in the background. It never blocks its
-// caller: lines that find it full or too fast are dropped, routine ones first, and counted,
-// and a line says how many once the output flows again.
+// Sink is a logrus hook that writes log lines in the background and never blocks its caller. Lines that exceed
+// its buffer or rate are dropped and counted, routine lines first. Once the output accepts data again, a line
+// reports how many were dropped.
 type Sink struct {
 	out       io.Writer
 	formatter logrus.Formatter
@@ -58,11 +57,11 @@
 	mu      sync.Mutex
 	pending bytes.Buffer
 	dropped Dropped
-	// told is the part of dropped that a line has told of.
-	told Dropped
+	// reported is the part of dropped that has been reported in the output.
+	reported Dropped
 }
 
-// NewSink returns a Sink that writes to out.
+// NewSink returns a Sink that writes to out. Close has to be called to flush it.
 func NewSink(out io.Writer) *Sink {
 	s := &Sink{
 		out:     out,
@@ -75,46 +74,46 @@
 	return s
 }
 
-// Attach makes a logger write all its lines to the sink, in the format that it has.
+// Attach redirects all lines of a logger to the sink. The sink uses the logger's current formatter.
 func (s *Sink) Attach(l *logrus.Logger) {
 	s.formatter = l.Formatter
 	l.AddHook(s)
-	// The sink formats each line; the logger itself writes nothing.
-	l.SetFormatter(silent{})
+	// The sink formats each line itself, so that the logger must not write anything.
+	l.SetFormatter(discardFormatter{})
 	l.SetOutput(io.Discard)
 }
 
-// silent formats nothing.
-type silent struct{}
+// discardFormatter formats entries as nothing.
+type discardFormatter struct{}
 
 // Format returns no bytes.
-func (silent) Format(*logrus.Entry) ([]byte, error) {
+func (discardFormatter) Format(*logrus.Entry) ([]byte, error) {
 	return nil, nil
 }
 
-// Levels returns all levels.
+// Levels returns all levels, as the sink handles every line.
 func (s *Sink) Levels() []logrus.Level {
 	return logrus.AllLevels
 }
 
-// Fire takes one line.
+// Fire formats an entry and buffers it; it is called by logrus.
 func (s *Sink) Fire(e *logrus.Entry) error {
 	line, err := s.formatter.Format(e)
 	if err != nil {
 		return err
 	}
-	s.take(line, isRoutine(e))
+	s.enqueue(line, isRoutine(e))
 	return nil
 }
 
-// isRoutine says whether a line tells of a request that went well.
+// isRoutine reports whether a line is about a successful request.
 func isRoutine(e *logrus.Entry) bool {
 	status, found := e.Data[FieldStatus].(int)
 	return e.Data[FieldOutcome] == OutcomeAnswered && found && status < http.StatusBadRequest
 }
 
-// take keeps a line for the writer, or drops it.
-func (s *Sink) take(line []byte, routine bool) {
+// enqueue buffers a line, or drops it.
+func (s *Sink) enqueue(line []byte, routine bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -130,17 +129,17 @@
 	s.pending.Write(line)
 }
 
-// Dropped returns how many lines have been dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() Dropped {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dropped
 }
 
-// Close writes what is pending and waits for the writer to end, unless the output is stuck.
+// Close flushes the buffer and waits for the writer, for at most 200 ms if the output is blocked.
 func (s *Sink) Close() {
 	close(s.stop)
-	timeout := time.NewTimer(closeWithin)
+	timeout := time.NewTimer(closeTimeout)
 	defer timeout.Stop()
 	select {
 	case <-s.done:
@@ -150,7 +149,7 @@
 
 func (s *Sink) run() {
 	defer close(s.done)
-	ticker := time.NewTicker(flushEvery)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -163,8 +162,8 @@
 	}
 }
 
-// droppedLine is the line that tells of dropped lines.
-type droppedLine struct {
+// dropNotice is the line that reports dropped lines.
+type dropNotice struct {
 	Level   string `json:"level"`
 	Message string `json:"msg"`
 	Routine int64  `json:"routine"`
@@ -176,29 +175,29 @@
 	s.mu.Lock()
 	lines := bytes.Clone(s.pending.Bytes())
 	s.pending.Reset()
-	if s.dropped != s.told {
-		lines = append(lines, s.tell()...)
+	if s.dropped != s.reported {
+		lines = append(lines, s.droppedLine()...)
 	}
 	s.mu.Unlock()
 	if len(lines) > 0 {
-		// There is nowhere to tell of an output that fails.
+		// A failure of the output itself cannot be reported anywhere.
 		_, _ = s.out.Write(lines)
 	}
 }
 
-// tell returns the line on what was dropped since the last one.
-func (s *Sink) tell() []byte {
-	line, err := json.Marshal(droppedLine{
+// droppedLine returns a line with the number of lines dropped since the last such line.
+func (s *Sink) droppedLine() []byte {
+	line, err := json.Marshal(dropNotice{
 		Level:   logrus.WarnLevel.String(),
 		Message: "log lines dropped",
-		Routine: s.dropped.Routine - s.told.Routine,
-		Other:   s.dropped.Other - s.told.Other,
+		Routine: s.dropped.Routine - s.reported.Routine,
+		Other:   s.dropped.Other - s.reported.Other,
 		Time:    time.Now().UTC().Format(time.RFC3339Nano),
 	})
 	if err != nil {
-		// The counts are told of with the next line.
+		// The next line reports these counts.
 		return nil
 	}
-	s.told = s.dropped
+	s.reported = s.dropped
 	return append(line, '\n')
 }
--- a/decision/sink_test.go
+++ b/decision/sink_test.go
@@ -14,21 +14,21 @@
 	"lovageyard.example/lovageyard/decision"
 )
 
-// stuck is an output that blocks until it is opened.
-type stuck struct {
-	open chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+// blockedWriter is an output that blocks until it is opened.
+type blockedWriter struct {
+	open    chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.open
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(b)
+	return s.written.Write(b)
 }
 
-func newLogger(out *stuck) (*logrus.Logger, *decision.Sink) {
+func newLogger(out *blockedWriter) (*logrus.Logger, *decision.Sink) {
 	logger := logrus.New()
 	logger.SetFormatter(&logrus.JSONFormatter{})
 	sink := decision.NewSink(out)
@@ -36,20 +36,20 @@
 	return logger, sink
 }
 
-// answered writes the line of a request that went well.
-func answered(l *logrus.Logger) {
+// logAnswered writes the line of a successful request.
+func logAnswered(l *logrus.Logger) {
 	l.WithFields(logrus.Fields{"outcome": "answered", "status": 200, "filling": strings.Repeat("x", 1000)}).Info("request")
 }
 
-func TestSinkNeverBlocksAndTellsWhatItDropped(t *testing.T) {
+func TestSinkNeverBlocksAndReportsDrops(t *testing.T) {
 	c := qt.New(t)
-	out := &stuck{open: make(chan struct{})}
+	out := &blockedWriter{open: make(chan struct{})}
 	logger, sink := newLogger(out)
 	const lines = 10_000
 	for range lines {
-		answered(logger)
+		logAnswered(logger)
 	}
-	// Room is left for what matters more.
+	// Half of the buffer is left for lines that are not routine.
 	const refusals = 100
 	for i := range refusals {
 		logger.WithFields(logrus.Fields{"outcome": "refused", "status": 503, "number": i}).Info("request")
@@ -57,18 +57,18 @@
 	logger.WithField("table", "servers").Warn("platform lost")
 	close(out.open)
 	sink.Close()
-	got := out.got.String()
-	kept := strings.Count(got, `"outcome":"answered"`)
-	c.Assert(kept > 100, qt.IsTrue)
-	c.Assert(kept < lines, qt.IsTrue)
-	c.Assert(strings.Count(got, `"outcome":"refused"`), qt.Equals, refusals)
-	c.Assert(strings.Contains(got, "platform lost"), qt.IsTrue)
-	c.Assert(sink.Dropped(), qt.Equals, decision.Dropped{Routine: int64(lines - kept)})
-	c.Assert(told(c, got), qt.Equals, lines-kept)
+	written := out.written.String()
+	writtenLines := strings.Count(written, `"outcome":"answered"`)
+	c.Assert(writtenLines > 100, qt.IsTrue)
+	c.Assert(writtenLines < lines, qt.IsTrue)
+	c.Assert(strings.Count(written, `"outcome":"refused"`), qt.Equals, refusals)
+	c.Assert(strings.Contains(written, "platform lost"), qt.IsTrue)
+	c.Assert(sink.Dropped(), qt.Equals, decision.Dropped{Routine: int64(lines - writtenLines)})
+	c.Assert(reportedDrops(c, written), qt.Equals, lines-writtenLines)
 }
 
-// told returns how many routine lines the output says were dropped.
-func told(c *qt.C, output string) int {
+// reportedDrops returns how many routine lines the output reports as dropped.
+func reportedDrops(c *qt.C, output string) int {
 	sum := 0
 	for _, found := range regexp.MustCompile(`"msg":"log lines dropped","routine":(\d+),"other":0`).FindAllStringSubmatch(output, -1) {
 		count, err := strconv.Atoi(found[1])
@@ -80,7 +80,7 @@
 
 func TestSinkBoundsAllLines(t *testing.T) {
 	c := qt.New(t)
-	out := &stuck{open: make(chan struct{})}
+	out := &blockedWriter{open: make(chan struct{})}
 	logger, sink := newLogger(out)
 	for range 10_000 {
 		logger.WithField("filling", strings.Repeat("x", 1000)).Warn("a row is not understood")
@@ -88,22 +88,22 @@
 	c.Assert(sink.Dropped().Other > 0, qt.IsTrue)
 	close(out.open)
 	sink.Close()
-	c.Assert(out.got.Len() < 2<<20, qt.IsTrue)
+	c.Assert(out.written.Len() < 2<<20, qt.IsTrue)
 }
 
 func TestSinkWritesAllOnClose(t *testing.T) {
 	c := qt.New(t)
-	out := &stuck{open: make(chan struct{})}
+	out := &blockedWriter{open: make(chan struct{})}
 	close(out.open)
 	logger, sink := newLogger(out)
 	logger.Info("last")
 	sink.Close()
-	c.Assert(out.got.String(), qt.Contains, `"msg":"last"`)
+	c.Assert(out.written.String(), qt.Contains, `"msg":"last"`)
 }
 
-// An instance that leaves ends also if nobody reads its output.
-func TestSinkClosesWhileItsOutputIsStuck(_ *testing.T) {
-	out := &stuck{open: make(chan struct{})}
+// A leaving instance exits even if nothing reads its output.
+func TestSinkClosesWhileOutputIsBlocked(_ *testing.T) {
+	out := &blockedWriter{open: make(chan struct{})}
 	defer close(out.open)
 	logger, sink := newLogger(out)
 	logger.Info("last")
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -161,7 +161,7 @@
 	d.charges = charge.NewStore(d.platform, clock, fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
 	handler := caller.NewHandler(caller.Settings{
 		Source:   d.control,
-		Watcher:  d.control,
+		Observer: d.control,
 		Charges:  d.charges,
 		Backend:  d.link,
 		Timer:    clock,
