--- a/caller/forward.go
+++ b/caller/forward.go
@@ -220,20 +220,20 @@
 		return x.newAttemptError(err)
 	}
 	defer response.Body.Close()
-	answer := lovageyard.Outcome{}
-	answer.Report, answer.Reported = link.ReportOf(response.Header)
-	if answer.Report.Leaving {
+	outcome := lovageyard.Outcome{}
+	outcome.Report, outcome.Reported = link.ReportOf(response.Header)
+	if outcome.Report.Leaving {
 		x.handler.observer.ServerLeaving(x.classRoute.Class.Service, x.choice.Site, x.slot.Server.Name)
 	}
 	if notRun(response) {
-		answer.Failed = true
-		x.release(started, answer)
+		outcome.Failed = true
+		x.release(started, outcome)
 		failure := lovageyard.NotRun("the backend server refused the request", nil)
 		return &attemptError{RequestError: failure, status: http.StatusServiceUnavailable, retryAfter: time.Second}
 	}
 	failure := x.forwardAnswer(response, func(failed bool) {
-		answer.Failed = failed
-		x.release(started, answer)
+		outcome.Failed = failed
+		x.release(started, outcome)
 	})
 	return failure
 }
@@ -279,10 +279,10 @@
 	return context.WithTimeout(ctx, left/2)
 }
 
-func (x *exchange) release(started time.Time, a lovageyard.Outcome) {
-	a.At = x.handler.timer.Now()
-	a.Duration = a.At.Sub(started)
-	x.choice.Pool.Release(x.slot, a)
+func (x *exchange) release(started time.Time, o lovageyard.Outcome) {
+	o.At = x.handler.timer.Now()
+	o.Duration = o.At.Sub(started)
+	x.choice.Pool.Release(x.slot, o)
 }
 
 // outgoing returns the request to send to the backend server.
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -60,16 +60,16 @@
 }
 
 // NewHandler returns a Handler, which is safe for concurrent use.
-func NewHandler(p Settings) *Handler {
+func NewHandler(s Settings) *Handler {
 	return &Handler{
-		source:   p.Source,
-		observer: p.Observer,
-		charges:  p.Charges,
-		backend:  p.Backend,
-		timer:    p.Timer,
-		recorder: p.Recorder,
-		metrics:  p.Metrics,
-		self:     p.Self,
+		source:   s.Source,
+		observer: s.Observer,
+		charges:  s.Charges,
+		backend:  s.Backend,
+		timer:    s.Timer,
+		recorder: s.Recorder,
+		metrics:  s.Metrics,
+		self:     s.Self,
 	}
 }
 
--- a/charge/book.go
+++ b/charge/book.go
@@ -61,21 +61,21 @@
 // NewStore returns a store whose claims carry a holder's name, which has to be unique to this incarnation of
 // the instance. Close releases its resources.
 func NewStore(table lovageyard.Table, timer lovageyard.Timer, holder string) *Store {
-	b := &Store{
+	s := &Store{
 		table:   table,
 		timer:   timer,
 		holder:  holder,
 		backlog: make(chan pendingWrite, backlogSize),
 		stop:    make(chan struct{}),
 	}
-	b.worker.Go(b.retryLoop)
-	return b
+	s.worker.Go(s.retryLoop)
+	return s
 }
 
 // Close stops the retries and waits until they have returned.
-func (b *Store) Close() {
-	close(b.stop)
-	b.worker.Wait()
+func (s *Store) Close() {
+	close(s.stop)
+	s.worker.Wait()
 }
 
 // Request describes a request that is to run at most once. SendBefore is the time after which it is not sent
@@ -89,29 +89,29 @@
 
 // Claim claims a key. It returns the held claim, or the answer of an earlier run, or an error: ErrKeyReused,
 // or a *lovageyard.RequestError whose verdict is on all requests with the key.
-func (b *Store) Claim(ctx context.Context, r Request) (*HeldClaim, *Answer, error) {
+func (s *Store) Claim(ctx context.Context, r Request) (*HeldClaim, *Answer, error) {
 	next := Claim{
 		Key:        r.Key,
 		Class:      r.Class,
 		State:      Claimed,
 		Hash:       r.Hash,
 		Attempt:    1,
-		Holder:     fmt.Sprintf("%s/%d", b.holder, b.sequence.Add(1)),
-		ClaimedAt:  b.timer.Now(),
+		Holder:     fmt.Sprintf("%s/%d", s.holder, s.sequence.Add(1)),
+		ClaimedAt:  s.timer.Now(),
 		SendBefore: r.SendBefore,
 	}
-	held, row, err := b.insert(ctx, next, 0)
+	held, row, err := s.insert(ctx, next, 0)
 	if err != nil || held != nil {
 		return held, nil, err
 	}
-	return b.resolveConflict(ctx, next, row)
+	return s.resolveConflict(ctx, next, row)
 }
 
 // insert writes a claim if the row still has the given version. It returns the row if another request has
 // written it.
-func (b *Store) insert(ctx context.Context, c Claim, version int64) (*HeldClaim, lovageyard.Row, error) {
+func (s *Store) insert(ctx context.Context, c Claim, version int64) (*HeldClaim, lovageyard.Row, error) {
 	noRow := lovageyard.Row{}
-	accepted, err := b.put(ctx, c, version)
+	accepted, err := s.put(ctx, c, version)
 	var conflict *lovageyard.ConflictError
 	switch {
 	case err == nil:
@@ -121,15 +121,15 @@
 	case !errors.Is(err, lovageyard.ErrUnknownOutcome):
 		return nil, noRow, lovageyard.NotRun(reasonUnclaimed, err)
 	}
-	return b.readBack(ctx, c, err)
+	return s.readBack(ctx, c, err)
 }
 
 // readBack determines the outcome of an insert whose response was lost. If it cannot, the request is refused,
 // and the row is released later in case it exists.
-func (b *Store) readBack(ctx context.Context, c Claim, lost error) (*HeldClaim, lovageyard.Row, error) {
+func (s *Store) readBack(ctx context.Context, c Claim, lost error) (*HeldClaim, lovageyard.Row, error) {
 	noRow := lovageyard.Row{}
 	for range maxReadAttempts {
-		row, err := b.table.Read(ctx, lovageyard.TableClaims, RowKey(c.Class, c.Key))
+		row, err := s.table.Read(ctx, lovageyard.TableClaims, RowKey(c.Class, c.Key))
 		if errors.Is(err, lovageyard.ErrNotFound) {
 			break
 		}
@@ -145,12 +145,12 @@
 		}
 		return nil, row, nil
 	}
-	b.enqueue(pendingWrite{held: &HeldClaim{Claim: c}, event: eventRelease, since: b.timer.Now()})
+	s.enqueue(pendingWrite{held: &HeldClaim{Claim: c}, event: eventRelease, since: s.timer.Now()})
 	return nil, noRow, lovageyard.NotRun(reasonUnclaimed, lost)
 }
 
 // resolveConflict handles a request whose key another request has claimed.
-func (b *Store) resolveConflict(ctx context.Context, next Claim, row lovageyard.Row) (*HeldClaim, *Answer, error) {
+func (s *Store) resolveConflict(ctx context.Context, next Claim, row lovageyard.Row) (*HeldClaim, *Answer, error) {
 	known, err := decode(row)
 	if err != nil {
 		return nil, nil, lovageyard.NotRun("the claim could not be read", err)
@@ -158,18 +158,18 @@
 	if known.Hash != next.Hash {
 		return nil, nil, ErrKeyReused
 	}
-	switch known.StateAt(b.timer.Now()) {
+	switch known.StateAt(s.timer.Now()) {
 	case Recorded:
 		return nil, known.Answer, nil
 	case Released:
-		return b.reclaim(ctx, next, known, row.Version)
+		return s.reclaim(ctx, next, known, row.Version)
 	}
-	return nil, nil, lovageyard.MayHaveRun("a request with this key is "+string(known.StateAt(b.timer.Now())), nil)
+	return nil, nil, lovageyard.MayHaveRun("a request with this key is "+string(known.StateAt(s.timer.Now())), nil)
 }
 
-func (b *Store) reclaim(ctx context.Context, next, known Claim, version int64) (*HeldClaim, *Answer, error) {
+func (s *Store) reclaim(ctx context.Context, next, known Claim, version int64) (*HeldClaim, *Answer, error) {
 	next.Attempt = known.Attempt + 1
-	held, _, err := b.insert(ctx, next, version)
+	held, _, err := s.insert(ctx, next, version)
 	if err == nil && held == nil {
 		err = lovageyard.MayHaveRun("another request with this key was faster", nil)
 	}
@@ -177,41 +177,41 @@
 }
 
 // Record stores the answer of a request that ran.
-func (b *Store) Record(h *HeldClaim, a Answer) {
+func (s *Store) Record(h *HeldClaim, a Answer) {
 	h.Answer = &a
-	b.update(h, eventRecord)
+	s.update(h, eventRecord)
 }
 
 // Release makes the key of a request that did not run available again.
-func (b *Store) Release(h *HeldClaim) {
-	b.update(h, eventRelease)
+func (s *Store) Release(h *HeldClaim) {
+	s.update(h, eventRelease)
 }
 
 // MarkUnknown records that a request may have run. An operator has to settle its claim.
-func (b *Store) MarkUnknown(h *HeldClaim) {
-	b.update(h, eventLose)
+func (s *Store) MarkUnknown(h *HeldClaim) {
+	s.update(h, eventMarkUnknown)
 }
 
 // update writes an update now, or schedules it for a retry if the platform does not accept it.
-func (b *Store) update(h *HeldClaim, event string) {
+func (s *Store) update(h *HeldClaim, event string) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
-	w := pendingWrite{held: h, event: event, since: b.timer.Now()}
-	if !b.attempt(ctx, w) {
-		b.enqueue(w)
+	w := pendingWrite{held: h, event: event, since: s.timer.Now()}
+	if !s.attempt(ctx, w) {
+		s.enqueue(w)
 	}
 }
 
 // attempt tries an update once. It returns true if no retry is needed: the update was written, or superseded
 // by another.
-func (b *Store) attempt(ctx context.Context, w pendingWrite) bool {
+func (s *Store) attempt(ctx context.Context, w pendingWrite) bool {
 	c := w.held.Claim
 	if c.apply(w.event) != nil {
 		return true
 	}
 	version := w.held.version
 	if version == 0 {
-		row, err := b.table.Read(ctx, lovageyard.TableClaims, RowKey(c.Class, c.Key))
+		row, err := s.table.Read(ctx, lovageyard.TableClaims, RowKey(c.Class, c.Key))
 		if err != nil {
 			return false
 		}
@@ -221,18 +221,18 @@
 		}
 		version = row.Version
 	}
-	_, err := b.put(ctx, c, version)
+	_, err := s.put(ctx, c, version)
 	var conflict *lovageyard.ConflictError
 	return err == nil || errors.As(err, &conflict)
 }
 
-func (b *Store) put(ctx context.Context, c Claim, version int64) (int64, error) {
+func (s *Store) put(ctx context.Context, c Claim, version int64) (int64, error) {
 	value, err := json.Marshal(c)
 	if err != nil {
 		return 0, errors.Wrap(err, "claim")
 	}
 	key := RowKey(c.Class, c.Key)
-	return b.table.Transact(ctx, lovageyard.Transaction{
+	return s.table.Transact(ctx, lovageyard.Transaction{
 		Conditions: []lovageyard.Condition{{Table: lovageyard.TableClaims, Key: key, Version: version}},
 		Writes:     []lovageyard.Write{{Table: lovageyard.TableClaims, Key: key, Value: value}},
 	})
@@ -240,22 +240,22 @@
 
 // enqueue schedules an update for a retry. If the backlog is full the update is dropped; the claim then
 // becomes unknown by its age.
-func (b *Store) enqueue(w pendingWrite) {
+func (s *Store) enqueue(w pendingWrite) {
 	select {
-	case b.backlog <- w:
+	case s.backlog <- w:
 	default:
 	}
 }
 
 // retryLoop retries the updates in the backlog.
-func (b *Store) retryLoop() {
+func (s *Store) retryLoop() {
 	for {
 		select {
-		case w := <-b.backlog:
-			if !b.retryWrite(w) {
+		case w := <-s.backlog:
+			if !s.retryWrite(w) {
 				return
 			}
-		case <-b.stop:
+		case <-s.stop:
 			return
 		}
 	}
@@ -263,19 +263,19 @@
 
 // retryWrite retries an update until it succeeds or retryTimeout has passed. It returns false if the store is
 // closed.
-func (b *Store) retryWrite(w pendingWrite) bool {
-	for b.timer.Now().Sub(w.since) < retryTimeout {
+func (s *Store) retryWrite(w pendingWrite) bool {
+	for s.timer.Now().Sub(w.since) < retryTimeout {
 		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
-		done := b.attempt(ctx, w)
+		done := s.attempt(ctx, w)
 		cancel()
 		if done {
 			return true
 		}
-		timer := b.timer.After(retryInterval)
+		timer := s.timer.After(retryInterval)
 		select {
 		case <-timer.C():
 			timer.Close()
-		case <-b.stop:
+		case <-s.stop:
 			timer.Close()
 			return false
 		}
--- a/charge/claim.go
+++ b/charge/claim.go
@@ -29,10 +29,10 @@
 
 // The events of the state machine.
 const (
-	eventClaim   = "claim"
-	eventRecord  = "record"
-	eventRelease = "release"
-	eventLose    = "lose"
+	eventClaim       = "claim"
+	eventRecord      = "record"
+	eventRelease     = "release"
+	eventMarkUnknown = "lose"
 )
 
 // MaxClockSkew is the largest difference between the clocks of two machines that the protocol tolerates.
@@ -85,7 +85,7 @@
 		{Name: eventClaim, Src: []string{string(Released)}, Dst: string(Claimed)},
 		{Name: eventRecord, Src: []string{string(Claimed), string(Unknown)}, Dst: string(Recorded)},
 		{Name: eventRelease, Src: []string{string(Claimed), string(Unknown)}, Dst: string(Released)},
-		{Name: eventLose, Src: []string{string(Claimed)}, Dst: string(Unknown)},
+		{Name: eventMarkUnknown, Src: []string{string(Claimed)}, Dst: string(Unknown)},
 	}, fsm.Callbacks{})
 	if err := m.Event(context.Background(), event); err != nil {
 		return errors.Wrapf(errTransition, "%s from %s", event, c.State)
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -8,7 +8,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-// AgeLimits bound the age of the configuration with which requests are decided; see Source.ConfigurationAge.
+// AgeLimits bound the age of the configuration with which requests are decided; see Source.ConfirmationAge.
 type AgeLimits struct {
 	// Serve is the maximum age at which requests with a key are served, as the key may have been revoked
 	// since; 0 means no limit.
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -42,7 +42,7 @@
 	hung  chan struct{}
 	// forgotten names the servers whose idle connections were closed.
 	forgotten []string
-	// observer receives the notices of answers, if set.
+	// observer receives the backpressure of answers, if set.
 	observer link.Observer
 	// before is called when a request is sent, if set.
 	before func()
@@ -106,7 +106,7 @@
 	accounts map[string]any
 	route    lovageyard.Route
 	quota    scriptedQuota
-	// observes makes the dispatch table observe the notices of answers.
+	// observes makes the dispatch table observe the backpressure of answers.
 	observes bool
 	// live makes the handler use the current view instead of the one at its creation.
 	live bool
@@ -196,7 +196,7 @@
 	})
 	table.SetCatalog(h.view.Snapshot, time.Now())
 	if h.observes {
-		h.sender.observer = &entry.NoticeObserver{Dispatch: table, Timer: timer.Clock{}, Logger: logger}
+		h.sender.observer = &entry.BackpressureObserver{Dispatch: table, Timer: timer.Clock{}, Logger: logger}
 	}
 	return entry.NewHandler(entry.Settings{
 		Source: h.source(), Limits: h.limits, Codec: platform.Headers{}, Sender: h.sender, Dispatch: table, Quarantine: h.quarantine(logger), Quota: &h.quota,
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -43,6 +43,7 @@
 // Sender makes one attempt at a backend server. Its errors are of type *lovageyard.RequestError.
 type Sender interface {
 	Send(ctx context.Context, r link.Request) (*link.Response, error)
+	// Forget closes the idle connections to a server.
 	Forget(server string)
 }
 
@@ -81,8 +82,8 @@
 }
 
 // NewHandler returns a Handler, which is safe for concurrent use.
-func NewHandler(p Settings) *Handler {
-	return &Handler{Settings: p}
+func NewHandler(s Settings) *Handler {
+	return &Handler{Settings: s}
 }
 
 // ServeHTTP forwards one request, or responds with the reason why it was not run.
@@ -167,12 +168,12 @@
 		x.refuse(causeClosing, "this instance ends before the answer is due", immediateRetry, nil)
 		return
 	}
-	if j := x.evaluate(); j.Quarantined {
-		x.refuse(causeQuarantined, "servers end under this request", j.Until.Sub(x.began), nil)
+	if d := x.evaluate(); d.Quarantined {
+		x.refuse(causeQuarantined, "servers end under this request", d.Until.Sub(x.began), nil)
 		return
 	}
-	if answer := x.handler.Quota.Admit(x.request.Context(), x.caller.account); answer.Verdict != quota.Admitted {
-		x.refuse(causeLimit, "the account is beyond its limit", answer.RetryAfter, nil)
+	if d := x.handler.Quota.Admit(x.request.Context(), x.caller.account); d.Verdict != quota.Admitted {
+		x.refuse(causeLimit, "the account is beyond its limit", d.RetryAfter, nil)
 		return
 	}
 	x.run()
@@ -196,17 +197,17 @@
 // route's timeout, and the time at which this instance stops waiting for an answer.
 func (x *exchange) setDeadlines() {
 	limit := x.route.Timeout
-	end := limit + answerGrace
+	answerLimit := limit + answerGrace
 	if limit <= 0 {
 		limit = defaultDeadline
-		end = limit
+		answerLimit = limit
 	}
 	if client := x.meta.Timeout; client > 0 {
 		limit = min(limit, client)
-		end = min(end, client-answerMargin)
+		answerLimit = min(answerLimit, client-answerMargin)
 	}
 	x.deadline = x.began.Add(limit)
-	x.answerDeadline = x.began.Add(end)
+	x.answerDeadline = x.began.Add(answerLimit)
 }
 
 // content returns the part of the request that is the same for all attempts of the client.
--- a/entry/log.go
+++ b/entry/log.go
@@ -72,12 +72,12 @@
 		fields["object"] = strconv.FormatUint(a.choice.Object, 16)
 	}
 	if a.answer != nil {
-		addNotice(fields, a.answer.Meta.Backpressure)
+		addBackpressure(fields, a.answer.Meta.Backpressure)
 	}
 }
 
-// addNotice adds the requests of the server in its answer.
-func addNotice(fields logrus.Fields, n lovageyard.Backpressure) {
+// addBackpressure adds what the server has requested in its answer.
+func addBackpressure(fields logrus.Fields, n lovageyard.Backpressure) {
 	if n.Limited {
 		fields["server-limit"] = n.Limit
 	}
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -9,16 +9,16 @@
 	"lovageyard.example/lovageyard/dispatch"
 )
 
-// NoticeObserver passes the notices in servers' answers to the dispatch table, and logs changes. It implements
-// link.Observer.
-type NoticeObserver struct {
+// BackpressureObserver passes the backpressure in servers' answers to the dispatch table, and logs changes. It
+// implements link.Observer.
+type BackpressureObserver struct {
 	Dispatch *dispatch.Table
 	Timer    lovageyard.Timer
 	Logger   *logrus.Logger
 }
 
-// Observe applies the notice of an answer to a request that was sent at sentAt.
-func (o *NoticeObserver) Observe(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time) {
+// Observe applies the backpressure in the answer to a request that was sent at sentAt.
+func (o *BackpressureObserver) Observe(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time) {
 	change := o.Dispatch.Observe(s, n, sentAt, o.Timer.Now())
 	log := o.Logger.WithField("server", s.Name)
 	if change.Leaving {
--- a/entry/notice_test.go
+++ b/entry/notice_test.go
@@ -21,8 +21,8 @@
 	h.c.Assert(h.log.String(), qt.Contains, `"server-leaving":true`)
 }
 
-// backingOff is the answer of a server that refuses a request and requests backoff. The link passes the notice
-// to the dispatch table.
+// backingOff is the answer of a server that refuses a request and requests backoff. The link passes the
+// backoff to the dispatch table.
 func backingOff() step {
 	s := notRun(503)
 	s.answer.Meta.Backpressure.Backoff = 7 * time.Second
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -156,7 +156,7 @@
 		Bounds:        o.bounds(),
 		Seed:          uint64(self.Incarnation),
 	})
-	notices := &entry.NoticeObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
+	notices := &entry.BackpressureObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
 	e.link = link.New(platform.Headers{}, e.timer, notices)
 	e.watch = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
 	e.control = fleet.New(fleet.Settings{
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -14,7 +14,7 @@
 	Incarnation int64
 }
 
-// Crash is the crash of a server that had requests in flight.
+// Crash describes the crash of a server that had requests in flight.
 type Crash struct {
 	Server Server
 	// Losses are the requests that were in flight.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -182,8 +182,8 @@
 func (t *Table) Evaluate(request uint64, now time.Time) Decision {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	if h, found := t.decisions.quarantined[request]; found && now.Before(h.Until) {
-		return Decision{Quarantined: true, Until: h.Until}
+	if q, found := t.decisions.quarantined[request]; found && now.Before(q.Until) {
+		return Decision{Quarantined: true, Until: q.Until}
 	}
 	return Decision{Suspect: t.decisions.suspects[request]}
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -30,32 +30,32 @@
 }
 
 // crash crashes a server with requests in flight.
-func (p *testTable) crash(n int, requests ...uint64) {
-	p.now = p.now.Add(400 * time.Millisecond)
+func (tb *testTable) crash(n int, requests ...uint64) {
+	tb.now = tb.now.Add(400 * time.Millisecond)
 	for _, r := range requests {
-		p.RecordLoss(server(n), r, p.now, p.now)
+		tb.RecordLoss(server(n), r, tb.now, tb.now)
 	}
-	p.RecordCrash(server(n), p.now)
+	tb.RecordCrash(server(n), tb.now)
 }
 
-func (p *testTable) evaluate(request uint64) quarantine.Decision {
-	return p.Evaluate(request, p.now)
+func (tb *testTable) evaluate(request uint64) quarantine.Decision {
+	return tb.Evaluate(request, tb.now)
 }
 
 const poison, bystander, other = 1, 2, 3
 
 func TestRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
-	p.crash(1, poison, 11, 12)
-	c.Assert(p.evaluate(poison), qt.Equals, quarantine.Decision{Suspect: true})
-	p.crash(2, poison, 13)
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsFalse)
-	p.crash(3, 14, poison)
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
+	tb := newTestTable()
+	tb.crash(1, poison, 11, 12)
+	c.Assert(tb.evaluate(poison), qt.Equals, quarantine.Decision{Suspect: true})
+	tb.crash(2, poison, 13)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsFalse)
+	tb.crash(3, 14, poison)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsTrue)
 	// The requests that were in flight with it are cleared.
 	for _, r := range []uint64{11, 12, 13, 14} {
-		c.Assert(p.evaluate(r), qt.Equals, quarantine.Decision{}, qt.Commentf("%d", r))
+		c.Assert(tb.evaluate(r), qt.Equals, quarantine.Decision{}, qt.Commentf("%d", r))
 	}
 }
 
@@ -63,98 +63,98 @@
 // Either may be the cause, so that neither is quarantined until the next crash or success distinguishes them.
 func TestAmbiguousRequestsAreNotQuarantined(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for n := range 3 {
-		p.crash(n, bystander, poison)
+		tb.crash(n, bystander, poison)
 	}
-	c.Assert(p.evaluate(poison), qt.Equals, quarantine.Decision{Suspect: true})
-	c.Assert(p.evaluate(bystander), qt.Equals, quarantine.Decision{Suspect: true})
-	p.crash(3, poison, other)
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
-	c.Assert(p.evaluate(bystander), qt.Equals, quarantine.Decision{})
-	c.Assert(p.evaluate(other), qt.Equals, quarantine.Decision{})
+	c.Assert(tb.evaluate(poison), qt.Equals, quarantine.Decision{Suspect: true})
+	c.Assert(tb.evaluate(bystander), qt.Equals, quarantine.Decision{Suspect: true})
+	tb.crash(3, poison, other)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(tb.evaluate(bystander), qt.Equals, quarantine.Decision{})
+	c.Assert(tb.evaluate(other), qt.Equals, quarantine.Decision{})
 }
 
 func TestSuccessResolvesAmbiguity(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for n := range 3 {
-		p.crash(n, bystander, poison)
+		tb.crash(n, bystander, poison)
 	}
-	p.now = p.now.Add(time.Second)
-	c.Assert(p.RecordSuccess(bystander, p.now), qt.IsTrue)
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
-	c.Assert(p.evaluate(bystander), qt.Equals, quarantine.Decision{})
+	tb.now = tb.now.Add(time.Second)
+	c.Assert(tb.RecordSuccess(bystander, tb.now), qt.IsTrue)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(tb.evaluate(bystander), qt.Equals, quarantine.Decision{})
 }
 
 // Two requests that cannot be distinguished must not crash servers without limit.
 func TestAmbiguousRequestsAreQuarantinedAfterFiveCrashes(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for n := range 4 {
-		p.crash(n, bystander, poison)
+		tb.crash(n, bystander, poison)
 	}
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsFalse)
-	p.crash(4, bystander, poison)
-	c.Assert(p.evaluate(poison).Quarantined || p.evaluate(bystander).Quarantined, qt.IsTrue)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsFalse)
+	tb.crash(4, bystander, poison)
+	c.Assert(tb.evaluate(poison).Quarantined || tb.evaluate(bystander).Quarantined, qt.IsTrue)
 }
 
 // A lost answer or a reset connection is no crash if the server keeps running.
 func TestUnconfirmedCrashDoesNotCount(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for n := range 9 {
-		unconfirmed, changed := p.RecordLoss(server(n), poison, p.now, p.now)
+		unconfirmed, changed := tb.RecordLoss(server(n), poison, tb.now, tb.now)
 		c.Assert(unconfirmed, qt.IsTrue)
 		c.Assert(changed, qt.IsFalse)
 	}
-	c.Assert(p.evaluate(poison), qt.Equals, quarantine.Decision{})
+	c.Assert(tb.evaluate(poison), qt.Equals, quarantine.Decision{})
 	// Once the crash is confirmed, it counts against the requests that were in flight.
-	p.RecordCrash(server(0), p.now)
-	c.Assert(p.evaluate(poison).Suspect, qt.IsTrue)
-	p.now = p.now.Add(time.Minute)
-	p.Expire(p.now)
-	p.RecordCrash(server(1), p.now)
-	p.RecordCrash(server(2), p.now)
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsFalse)
+	tb.RecordCrash(server(0), tb.now)
+	c.Assert(tb.evaluate(poison).Suspect, qt.IsTrue)
+	tb.now = tb.now.Add(time.Minute)
+	tb.Expire(tb.now)
+	tb.RecordCrash(server(1), tb.now)
+	tb.RecordCrash(server(2), tb.now)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsFalse)
 }
 
 // A frequent request is in flight at many crashes, and succeeds between them.
 func TestSucceedingRequestIsNeverQuarantined(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for n := range 30 {
-		p.crash(n, other)
-		p.now = p.now.Add(100 * time.Millisecond)
-		p.RecordSuccess(other, p.now)
-		c.Assert(p.evaluate(other).Quarantined, qt.IsFalse)
+		tb.crash(n, other)
+		tb.now = tb.now.Add(100 * time.Millisecond)
+		tb.RecordSuccess(other, tb.now)
+		c.Assert(tb.evaluate(other).Quarantined, qt.IsFalse)
 	}
 }
 
 func TestIncarnationsOfOneServerCountSeparately(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for incarnation := range int64(3) {
 		s := quarantine.Server{Name: "server", Incarnation: incarnation + 1}
-		p.now = p.now.Add(time.Second)
-		p.RecordLoss(s, poison, p.now, p.now)
-		p.RecordCrash(s, p.now)
+		tb.now = tb.now.Add(time.Second)
+		tb.RecordLoss(s, poison, tb.now, tb.now)
+		tb.RecordCrash(s, tb.now)
 	}
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsTrue)
 }
 
 func TestQuarantineExpires(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for n := range 3 {
-		p.crash(n, poison)
+		tb.crash(n, poison)
 	}
-	until := p.evaluate(poison).Until
-	c.Assert(until.Sub(p.now) > 5*time.Minute, qt.IsTrue)
-	p.now = until.Add(time.Second)
-	p.Expire(p.now)
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsFalse)
-	c.Assert(p.Report(p.now).IsEmpty(), qt.IsTrue)
+	until := tb.evaluate(poison).Until
+	c.Assert(until.Sub(tb.now) > 5*time.Minute, qt.IsTrue)
+	tb.now = until.Add(time.Second)
+	tb.Expire(tb.now)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsFalse)
+	c.Assert(tb.Report(tb.now).IsEmpty(), qt.IsTrue)
 }
 
 // A success outweighs older crashes, in whatever order the reports arrive.
@@ -180,16 +180,16 @@
 // the same reports disagree.
 func TestClearanceDoesNotCoverLaterCrashes(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
-	p.crash(9, other)
-	c.Assert(p.Merge(quarantine.Report{
+	tb := newTestTable()
+	tb.crash(9, other)
+	c.Assert(tb.Merge(quarantine.Report{
 		Crashes:    []quarantine.Crash{{Server: server(1), Losses: []quarantine.Loss{{Request: other, SentAge: time.Minute}}, Age: time.Minute}},
 		Clearances: []quarantine.Clearance{{Request: other, Age: 30 * time.Second}},
-	}, p.now), qt.IsTrue)
+	}, tb.now), qt.IsTrue)
 	for n := range 2 {
-		p.crash(5+n, other)
+		tb.crash(5+n, other)
 	}
-	c.Assert(p.evaluate(other).Quarantined, qt.IsTrue)
+	c.Assert(tb.evaluate(other).Quarantined, qt.IsTrue)
 }
 
 // Instances that each see part of the crashes reach the same decision once they exchange reports.
@@ -216,12 +216,12 @@
 func TestCrashesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	a, b := newTestTable(), newTestTable()
-	crashMany := func(p *testTable, n int) {
+	crashMany := func(tb *testTable, n int) {
 		var requests []uint64
 		for r := range 36 {
 			requests = append(requests, uint64(1000+100*n+r))
 		}
-		p.crash(n, requests...)
+		tb.crash(n, requests...)
 	}
 	for n := range 3 {
 		a.crash(1000+n, poison)
@@ -241,38 +241,38 @@
 // request.
 func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for n := range 6 {
-		at := p.now.Add(time.Duration(n) * 20 * time.Millisecond)
-		p.RecordLoss(server(n), other, p.now, at)
-		p.RecordCrash(server(n), at)
+		at := tb.now.Add(time.Duration(n) * 20 * time.Millisecond)
+		tb.RecordLoss(server(n), other, tb.now, at)
+		tb.RecordCrash(server(n), at)
 	}
-	c.Assert(p.evaluate(other), qt.Equals, quarantine.Decision{Suspect: true})
+	c.Assert(tb.evaluate(other), qt.Equals, quarantine.Decision{Suspect: true})
 	for n := range 2 {
-		p.crash(10+n, other)
+		tb.crash(10+n, other)
 	}
-	c.Assert(p.evaluate(other).Quarantined, qt.IsTrue)
+	c.Assert(tb.evaluate(other).Quarantined, qt.IsTrue)
 }
 
 // A request that many clients send every second was in flight at three crashes with another cause, and
 // succeeded elsewhere between them.
 func TestRecentSuccessPreventsSuspicion(t *testing.T) {
 	c := qt.New(t)
-	p := newTestTable()
+	tb := newTestTable()
 	for n := range 3 {
-		p.RecordSuccess(other, p.now)
-		p.now = p.now.Add(time.Second)
-		p.crash(n, other, poison)
-		c.Assert(p.evaluate(other), qt.Equals, quarantine.Decision{})
+		tb.RecordSuccess(other, tb.now)
+		tb.now = tb.now.Add(time.Second)
+		tb.crash(n, other, poison)
+		c.Assert(tb.evaluate(other), qt.Equals, quarantine.Decision{})
 	}
-	c.Assert(p.evaluate(poison).Quarantined, qt.IsTrue)
+	c.Assert(tb.evaluate(poison).Quarantined, qt.IsTrue)
 	// A request that used to succeed may start to crash servers.
-	p.RecordSuccess(14, p.now)
-	p.now = p.now.Add(time.Minute)
+	tb.RecordSuccess(14, tb.now)
+	tb.now = tb.now.Add(time.Minute)
 	for n := range 3 {
-		p.crash(20+n, 14)
+		tb.crash(20+n, 14)
 	}
-	c.Assert(p.evaluate(14).Quarantined, qt.IsTrue)
+	c.Assert(tb.evaluate(14).Quarantined, qt.IsTrue)
 }
 
 // Simulates one poison request among many others. All are retried after a crash, as clients and instances do,
@@ -283,13 +283,13 @@
 	for seed := range uint64(seeds) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, seed))
-		p := newTestTable()
+		tb := newTestTable()
 		incarnation := 0
 		at := make(map[uint64]int)
 		nextRequest := uint64(100)
 		place := func(request uint64, home int) {
 			at[request] = home
-			if p.evaluate(request).Suspect {
+			if tb.evaluate(request).Suspect {
 				at[request] = random.IntN(servers)
 			}
 		}
@@ -299,7 +299,7 @@
 			place(nextRequest, 0)
 		}
 		crashes := 0
-		for ; !p.evaluate(poison).Quarantined && crashes < 9; crashes++ {
+		for ; !tb.evaluate(poison).Quarantined && crashes < 9; crashes++ {
 			place(poison, 0)
 			var lost []uint64
 			for _, request := range slices.Sorted(maps.Keys(at)) {
@@ -308,14 +308,14 @@
 				}
 			}
 			incarnation++
-			p.crash(incarnation, lost...)
+			tb.crash(incarnation, lost...)
 			for _, request := range lost {
 				place(request, 0)
 			}
 			// Some requests complete, and new ones start.
 			for _, request := range slices.Sorted(maps.Keys(at)) {
 				if request != poison && random.IntN(4) == 0 {
-					p.RecordSuccess(request, p.now)
+					tb.RecordSuccess(request, tb.now)
 					delete(at, request)
 					nextRequest++
 					place(nextRequest, 0)
@@ -323,7 +323,7 @@
 			}
 		}
 		c.Assert(crashes <= 4, qt.IsTrue, qt.Commentf("seed %d: %d servers crashed", seed, crashes))
-		for _, q := range p.Quarantined() {
+		for _, q := range tb.Quarantined() {
 			c.Assert(q.Request, qt.Equals, uint64(poison), qt.Commentf("seed %d", seed))
 		}
 	}
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -55,160 +55,160 @@
 
 // NewMonitor returns a Monitor with an empty Table. Close releases its resources.
 func NewMonitor(s Settings) *Monitor {
-	w := &Monitor{
+	m := &Monitor{
 		settings: s,
 		table:    NewTable(),
 		updates:  make(chan struct{}, 1),
 		probing:  make(map[Server]bool),
 		logged:   make(map[uint64]bool),
 	}
-	w.context, w.cancel = context.WithCancel(context.Background())
-	return w
+	m.context, m.cancel = context.WithCancel(context.Background())
+	return m
 }
 
 // Close cancels all probes and waits until they have returned.
-func (w *Monitor) Close() {
+func (m *Monitor) Close() {
 	// The lock ensures that no probe starts after the context is cancelled.
-	w.mu.Lock()
-	w.cancel()
-	w.mu.Unlock()
-	w.probes.Wait()
+	m.mu.Lock()
+	m.cancel()
+	m.mu.Unlock()
+	m.probes.Wait()
 }
 
 // Updates returns a channel that receives a value once this instance has observed something that should be
 // reported to others.
-func (w *Monitor) Updates() <-chan struct{} {
-	return w.updates
+func (m *Monitor) Updates() <-chan struct{} {
+	return m.updates
 }
 
 // Evaluate returns the current decision on a request.
-func (w *Monitor) Evaluate(request uint64) Decision {
-	return w.table.Evaluate(request, w.settings.Timer.Now())
+func (m *Monitor) Evaluate(request uint64) Decision {
+	return m.table.Evaluate(request, m.settings.Timer.Now())
 }
 
 // RecordLoss records that a server closed the connection of a request that was sent to it at sentAt. That
 // counts against the request only once the server is confirmed to have crashed, as answers get lost and
 // connections are reset for other reasons, too.
-func (w *Monitor) RecordLoss(server lovageyard.BackendServer, request uint64, sentAt time.Time) {
-	unconfirmed, changed := w.table.RecordLoss(incarnationOf(server), request, sentAt, w.settings.Timer.Now())
+func (m *Monitor) RecordLoss(server lovageyard.BackendServer, request uint64, sentAt time.Time) {
+	unconfirmed, changed := m.table.RecordLoss(incarnationOf(server), request, sentAt, m.settings.Timer.Now())
 	if unconfirmed {
-		w.probe(server)
+		m.probe(server)
 	}
 	if changed {
-		w.notify()
+		m.notify()
 	}
 }
 
 // RecordCrash records that a server's port refuses connections, or that another server now uses its address.
-func (w *Monitor) RecordCrash(server lovageyard.BackendServer) {
+func (m *Monitor) RecordCrash(server lovageyard.BackendServer) {
 	incarnation := incarnationOf(server)
-	requests := w.table.RecordCrash(incarnation, w.settings.Timer.Now())
+	requests := m.table.RecordCrash(incarnation, m.settings.Timer.Now())
 	if len(requests) == 0 {
 		return
 	}
-	w.settings.Metrics.Count(meter.ServersCrashed, server.Service)
-	w.settings.Logger.WithFields(logrus.Fields{
+	m.settings.Metrics.Count(meter.ServersCrashed, server.Service)
+	m.settings.Logger.WithFields(logrus.Fields{
 		"server":       server.Name,
 		"life":         server.Incarnation,
 		"service":      server.Service,
 		"requests":     len(requests),
 		"fingerprints": formatAll(requests),
 	}).Warn("backend server crashed with requests in flight")
-	w.notify()
+	m.notify()
 }
 
 // RecordSuccess records that a server answered a request successfully.
-func (w *Monitor) RecordSuccess(request uint64) {
-	if w.table.RecordSuccess(request, w.settings.Timer.Now()) {
-		w.settings.Logger.WithField("fingerprint", Format(request)).Info("request cleared by a success")
-		w.notify()
+func (m *Monitor) RecordSuccess(request uint64) {
+	if m.table.RecordSuccess(request, m.settings.Timer.Now()) {
+		m.settings.Logger.WithField("fingerprint", Format(request)).Info("request cleared by a success")
+		m.notify()
 	}
 }
 
 // Tick removes expired state. It is to be called periodically.
-func (w *Monitor) Tick(now time.Time) {
-	w.table.Expire(now)
-	w.logQuarantined()
+func (m *Monitor) Tick(now time.Time) {
+	m.table.Expire(now)
+	m.logQuarantined()
 }
 
 // Merge applies a report from another instance. It returns whether the report changed the state.
-func (w *Monitor) Merge(r Report) bool {
-	if !w.table.Merge(r, w.settings.Timer.Now()) {
+func (m *Monitor) Merge(r Report) bool {
+	if !m.table.Merge(r, m.settings.Timer.Now()) {
 		return false
 	}
-	w.logQuarantined()
+	m.logQuarantined()
 	return true
 }
 
 // Report returns the whole state that other instances need.
-func (w *Monitor) Report() Report {
-	return w.table.Report(w.settings.Timer.Now())
+func (m *Monitor) Report() Report {
+	return m.table.Report(m.settings.Timer.Now())
 }
 
 // ReportSince returns what this instance has recorded or merged since a time.
-func (w *Monitor) ReportSince(since time.Time) Report {
-	return w.table.ReportSince(since, w.settings.Timer.Now())
+func (m *Monitor) ReportSince(since time.Time) Report {
+	return m.table.ReportSince(since, m.settings.Timer.Now())
 }
 
 // Digest returns a hash of the state, which is the same on instances with the same state.
-func (w *Monitor) Digest() uint64 {
-	return w.table.Digest()
+func (m *Monitor) Digest() uint64 {
+	return m.table.Digest()
 }
 
 // NewlyQuarantined returns the requests that observations of this instance have quarantined since the last
 // call.
-func (w *Monitor) NewlyQuarantined() []uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	found := w.newlyQuarantined
-	w.newlyQuarantined = nil
-	return found
+func (m *Monitor) NewlyQuarantined() []uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	requests := m.newlyQuarantined
+	m.newlyQuarantined = nil
+	return requests
 }
 
 // ReportFor returns the crashes at which one request was in flight.
-func (w *Monitor) ReportFor(request uint64) Report {
-	return w.table.ReportFor(request, w.settings.Timer.Now())
+func (m *Monitor) ReportFor(request uint64) Report {
+	return m.table.ReportFor(request, m.settings.Timer.Now())
 }
 
 // notify signals on the updates channel without blocking.
-func (w *Monitor) notify() {
-	added := w.logQuarantined()
-	w.mu.Lock()
-	w.newlyQuarantined = append(w.newlyQuarantined, added...)
-	w.mu.Unlock()
+func (m *Monitor) notify() {
+	added := m.logQuarantined()
+	m.mu.Lock()
+	m.newlyQuarantined = append(m.newlyQuarantined, added...)
+	m.mu.Unlock()
 	select {
-	case w.updates <- struct{}{}:
+	case m.updates <- struct{}{}:
 	default:
 	}
 }
 
 // probe checks in the background whether a server has crashed. At most one probe of a server runs at a time.
-func (w *Monitor) probe(server lovageyard.BackendServer) {
+func (m *Monitor) probe(server lovageyard.BackendServer) {
 	incarnation := incarnationOf(server)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.probing[incarnation] || w.context.Err() != nil {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.probing[incarnation] || m.context.Err() != nil {
 		return
 	}
-	w.probing[incarnation] = true
-	w.probes.Go(func() {
-		crashed := w.confirmCrash(server)
-		w.mu.Lock()
-		delete(w.probing, incarnation)
-		w.mu.Unlock()
+	m.probing[incarnation] = true
+	m.probes.Go(func() {
+		crashed := m.confirmCrash(server)
+		m.mu.Lock()
+		delete(m.probing, incarnation)
+		m.mu.Unlock()
 		if crashed {
-			w.RecordCrash(server)
+			m.RecordCrash(server)
 		}
 	})
 }
 
 // confirmCrash probes a server up to probeAttempts times and reports whether it refuses connections.
-func (w *Monitor) confirmCrash(server lovageyard.BackendServer) bool {
+func (m *Monitor) confirmCrash(server lovageyard.BackendServer) bool {
 	for n := range probeAttempts {
-		if n > 0 && !w.sleep(probeInterval) {
+		if n > 0 && !m.sleep(probeInterval) {
 			return false
 		}
-		if w.settings.Prober.RefusesConnections(w.context, server) {
+		if m.settings.Prober.RefusesConnections(m.context, server) {
 			return true
 		}
 	}
@@ -216,42 +216,42 @@
 }
 
 // sleep waits for a duration. It returns false if the Monitor is closed first.
-func (w *Monitor) sleep(d time.Duration) bool {
-	after := w.settings.Timer.After(d)
+func (m *Monitor) sleep(d time.Duration) bool {
+	after := m.settings.Timer.After(d)
 	defer after.Close()
 	select {
 	case <-after.C():
 		return true
-	case <-w.context.Done():
+	case <-m.context.Done():
 		return false
 	}
 }
 
 // logQuarantined logs each request that entered or left the quarantine, and returns those that entered it.
-func (w *Monitor) logQuarantined() []uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *Monitor) logQuarantined() []uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	quarantined := make(map[uint64]bool)
 	var added []uint64
-	for _, h := range w.table.Quarantined() {
-		quarantined[h.Request] = true
-		if w.logged[h.Request] {
+	for _, q := range m.table.Quarantined() {
+		quarantined[q.Request] = true
+		if m.logged[q.Request] {
 			continue
 		}
-		added = append(added, h.Request)
-		w.settings.Logger.WithFields(logrus.Fields{
-			"fingerprint": Format(h.Request),
-			"servers":     h.Servers,
-			"for-ms":      h.Until.Sub(w.settings.Timer.Now()).Milliseconds(),
+		added = append(added, q.Request)
+		m.settings.Logger.WithFields(logrus.Fields{
+			"fingerprint": Format(q.Request),
+			"servers":     q.Servers,
+			"for-ms":      q.Until.Sub(m.settings.Timer.Now()).Milliseconds(),
 		}).Warn("request quarantined: backend servers crash while running it")
 	}
-	for request := range w.logged {
+	for request := range m.logged {
 		if !quarantined[request] {
-			w.settings.Logger.WithField("fingerprint", Format(request)).Info("request released from quarantine")
+			m.settings.Logger.WithField("fingerprint", Format(request)).Info("request released from quarantine")
 		}
 	}
-	w.logged = quarantined
-	w.settings.Metrics.Update(meter.RequestsQuarantined, int64(len(quarantined)))
+	m.logged = quarantined
+	m.settings.Metrics.Update(meter.RequestsQuarantined, int64(len(quarantined)))
 	return added
 }
 
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -27,12 +27,12 @@
 	return p.crashAt > 0 && n >= p.crashAt
 }
 
-func newWatch(c *qt.C, p *ports) *quarantine.Monitor {
+func newMonitor(c *qt.C, p *ports) *quarantine.Monitor {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	w := quarantine.NewMonitor(quarantine.Settings{Prober: p, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
-	c.Cleanup(w.Close)
-	return w
+	m := quarantine.NewMonitor(quarantine.Settings{Prober: p, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
+	c.Cleanup(m.Close)
+	return m
 }
 
 func eventually(c *qt.C, condition string, reached func() bool) {
@@ -48,10 +48,10 @@
 func TestServerIsProbedAgain(t *testing.T) {
 	c := qt.New(t)
 	p := &ports{crashAt: 2}
-	w := newWatch(c, p)
-	w.RecordLoss(lovageyard.BackendServer{Name: "server"}, poison, time.Now())
-	eventually(c, "the request is a suspect", func() bool { return w.Evaluate(poison).Suspect })
-	<-w.Updates()
+	m := newMonitor(c, p)
+	m.RecordLoss(lovageyard.BackendServer{Name: "server"}, poison, time.Now())
+	eventually(c, "the request is a suspect", func() bool { return m.Evaluate(poison).Suspect })
+	<-m.Updates()
 }
 
 // A server that is still running is probed only a few times, however many connections it closed at the same
@@ -59,18 +59,18 @@
 func TestRunningServerIsProbedAFewTimes(t *testing.T) {
 	c := qt.New(t)
 	p := &ports{}
-	w := newWatch(c, p)
+	m := newMonitor(c, p)
 	for request := range uint64(50) {
-		w.RecordLoss(lovageyard.BackendServer{Name: "server"}, request, time.Now())
+		m.RecordLoss(lovageyard.BackendServer{Name: "server"}, request, time.Now())
 	}
 	eventually(c, "two probes", func() bool { return p.probes.Load() == 2 })
-	c.Assert(w.Evaluate(poison), qt.Equals, quarantine.Decision{})
+	c.Assert(m.Evaluate(poison), qt.Equals, quarantine.Decision{})
 }
 
 // Only the observations of this instance count as newly quarantined, not the reports of others.
 func TestOnlyLocalObservationsAreNewlyQuarantined(t *testing.T) {
 	c := qt.New(t)
-	observer, receiver := newWatch(c, &ports{crashAt: 1}), newWatch(c, &ports{})
+	observer, receiver := newMonitor(c, &ports{crashAt: 1}), newMonitor(c, &ports{})
 	for _, name := range []string{"1", "2", "3"} {
 		server := lovageyard.BackendServer{Name: name}
 		time.Sleep(2 * time.Millisecond)
--- a/quota/bound.go
+++ b/quota/bound.go
@@ -18,7 +18,8 @@
 )
 
 // Bound is the number of requests of an account that operators tolerate in any window, over all instances
-// together: the limit, plus Excess as a fraction of it, plus Slack requests.
+// together: the limit, which is the account's rate over the window plus its burst; Excess as a fraction of
+// that; and Slack further requests.
 type Bound struct {
 	Window time.Duration
 	Excess float64
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -10,9 +10,9 @@
 	// demandWindow is the time constant of the moving average of an account's demand.
 	demandWindow = time.Second
 	// An account becomes metered when its bucket is less than meteredLevel full or its demand exceeds
-	// meteredDemand of its limit, and unmetered when it is well past both, as hysteresis. The levels leave
-	// room because instances learn of a surge some tenths of a second late, and admit several times the usual
-	// load until then.
+	// meteredDemand of its limit, and unmetered when it is past both unmeteredLevel and unmeteredDemand. The
+	// levels leave room because instances learn of a surge some tenths of a second late, and admit several
+	// times the usual load until then.
 	meteredLevel    = 0.5
 	meteredDemand   = 0.75
 	unmeteredLevel  = 0.6
@@ -24,7 +24,7 @@
 	// account's state, as after a restart of all instances. It suffices for accounts below their limits and
 	// stays within the excess that the bound allows.
 	initialFraction = 0.2
-	// minRetry and maxRetry bound the retry time that is sent to rejected callers.
+	// minRetry and maxRetry bound the retry time that is sent to refused callers.
 	minRetry = 50 * time.Millisecond
 	maxRetry = 2 * time.Second
 )
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -21,7 +21,7 @@
 	minUnreported      = 2
 	// localBurstWindow is the time for which an instance may accumulate its own share of a limit.
 	localBurstWindow = 100 * time.Millisecond
-	// retryWithoutOwner is when to retry after a rejection because no owner could be reached. By then another
+	// retryWithoutOwner is when to retry after a refusal because no owner could be reached. By then another
 	// owner has taken over.
 	retryWithoutOwner = 300 * time.Millisecond
 	// idleTimeout is when an account without requests is removed.
@@ -132,11 +132,11 @@
 		e.metered, e.stateAt, e.owner = reply.warmingUp || reply.askedAt == 0, reply.askedAt, owner
 	}
 	e.recordDemand(now)
-	answer := l.decide(e, a, now)
-	if answer.Verdict == Pending {
+	decision := l.decide(e, a, now)
+	if decision.Verdict == Pending {
 		e.pending++
 	}
-	return answer
+	return decision
 }
 
 // HasOwnerReply reports whether any owner has replied since the start.
@@ -170,11 +170,11 @@
 // Resume decides again on a pending request. The request stays pending if its tokens have not arrived yet.
 func (l *Ledger) Resume(a *lovageyard.Account, now time.Duration) Decision {
 	e := l.entry(a.Name)
-	answer := l.decide(e, a, now)
-	if answer.Verdict != Pending {
+	decision := l.decide(e, a, now)
+	if decision.Verdict != Pending {
 		e.pending--
 	}
-	return answer
+	return decision
 }
 
 func (l *Ledger) decide(e *entry, a *lovageyard.Account, now time.Duration) Decision {
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -147,21 +147,21 @@
 	l.updateOrder()
 	now := l.settings.Timer.Elapsed()
 	owner := l.ownerOf(a.Name)
-	answer := l.ledger.Admit(a, owner, now)
+	decision := l.ledger.Admit(a, owner, now)
 	changed := l.changed
 	urgent := l.ledger.IsUrgent(a, now)
 	l.mu.Unlock()
 	if urgent {
 		l.wake()
 	}
-	if answer.Verdict == Pending {
-		answer = l.await(ctx, a, changed)
+	if decision.Verdict == Pending {
+		decision = l.await(ctx, a, changed)
 	}
-	if answer.Verdict == Refused {
+	if decision.Verdict == Refused {
 		// Callers that were refused together retry at different times.
-		answer.RetryAfter = time.Duration((0.5 + rand.Float64()) * float64(answer.RetryAfter))
+		decision.RetryAfter = time.Duration((0.5 + rand.Float64()) * float64(decision.RetryAfter))
 	}
-	return answer
+	return decision
 }
 
 // await waits for the reply that decides on a pending request.
@@ -182,11 +182,11 @@
 		}
 		l.mu.Lock()
 		now := l.settings.Timer.Elapsed()
-		answer := l.ledger.Resume(a, now)
+		decision := l.ledger.Resume(a, now)
 		changed = l.changed
 		l.mu.Unlock()
-		if answer.Verdict != Pending {
-			return answer
+		if decision.Verdict != Pending {
+			return decision
 		}
 		l.wake()
 	}
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -145,9 +145,9 @@
 	return share
 }
 
-// bucket returns the bucket of an account. A new bucket starts with the tokens that the instance reports, at
-// most; an account that this owner has held before fills from the time it got it, as what was admitted earlier
-// is not known.
+// bucket returns the bucket of an account. A new bucket starts with a part of the tokens that the instance
+// reports. If this instance owns the account and no other owner has served it, the bucket has been filling
+// since it became the owner, as what was admitted before is not known.
 func (o *Owner) bucket(a *lovageyard.Account, u Use, limits Limits, now time.Duration) *bucket {
 	b := o.buckets[a.Name]
 	ownedSince, isOwned := limits.OwnedSince(a.Name)
