--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -41,7 +41,7 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/rcrowley/go-metrics.(*meterArbiter).tick"))
 }
 
-// rig is a handler in front of scripted backend servers.
+// harness is a handler in front of scripted backend servers.
 type harness struct {
 	snapshot *route.Snapshot
 	pool     *server.Pool
@@ -80,7 +80,7 @@
 	}
 }
 
-// newRig starts an HTTP server with the handler, for backend servers at the given addresses.
+// newHarness starts an HTTP server with the handler, for backend servers at the given addresses.
 func newHarness(t *testing.T, addresses ...string) *harness {
 	r := &harness{pool: server.NewPool(server.Settings{Mode: server.RoundRobin, QueuePerSlot: 1}, 1)}
 	var list []lovageyard.BackendServer
--- a/entry/lookup.go
+++ b/entry/lookup.go
@@ -56,20 +56,20 @@
 // addresses returns the addresses that a client of a region should connect to. It prefers the region's
 // instances with the newest configuration, then the region's other instances, then those of other regions.
 func addresses(view *catalog.View, region string) []string {
-	var own, behind, others []string
+	var own, stale, others []string
 	for _, m := range view.Live {
 		switch {
 		case m.State != lovageyard.StateLive:
 		case m.Region != region:
 			others = append(others, m.CallerAddress)
 		case m.Stale:
-			behind = append(behind, m.CallerAddress)
+			stale = append(stale, m.CallerAddress)
 		default:
 			own = append(own, m.CallerAddress)
 		}
 	}
 	if len(own) == 0 {
-		own = behind
+		own = stale
 	}
 	if len(own) == 0 {
 		own = others
