--- a/caller/forward.go
+++ b/caller/forward.go
@@ -110,7 +110,7 @@
 	if !x.claim() {
 		return
 	}
-	x.classRoute.Budget.Deposit()
+	x.classRoute.RetryBudget.Deposit()
 	for x.attempt = 1; ; x.attempt++ {
 		failure := x.try()
 		if failure == nil {
@@ -152,7 +152,7 @@
 	if !x.body.isComplete() {
 		return false
 	}
-	return x.classRoute.Budget.Withdraw()
+	return x.classRoute.RetryBudget.Withdraw()
 }
 
 // try makes one attempt. It returns nil once the response has been sent.
