--- /dev/null
+++ b/control/class_state.go
@@ -0,0 +1,285 @@
+package control
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"lovageyard.example/lovageyard"
+	"lovageyard.example/lovageyard/grant"
+	"lovageyard.example/lovageyard/instance"
+	"lovageyard.example/lovageyard/move"
+	"lovageyard.example/lovageyard/route"
+	"lovageyard.example/lovageyard/server"
+)
+
+// demandTimeConstant is the time constant of the exponential moving average of the demand.
+const demandTimeConstant = 5 * time.Second
+
+// classState is the control state of one class.
+type classState struct {
+	class      lovageyard.Class
+	plan       lovageyard.ClassPlan
+	planSeenAt time.Time
+	stepper    *move.Stepper
+	forced     *move.Gate
+	budget     *server.Budget
+	counts     []*route.HomeCount
+	rates      []*homeRate
+	measuredAt time.Time
+	// settledStep is the plan step, and settledHomes the number of its homes, last found to be
+	// applied completely.
+	settledStep  int64
+	settledHomes int
+	// homes is a copy of the applied placement at the stepper's generation, for the snapshot.
+	homes      []move.Home
+	generation uint64
+}
+
+// homeRate is the measured demand of one home failure domain, in requests per second.
+type homeRate struct {
+	failureDomain string
+	lastCounts    [lovageyard.Buckets]uint64
+	rates         [lovageyard.Buckets]float64
+}
+
+// updateClasses applies the current classes and plans.
+func (c *Control) updateClasses() {
+	now := c.settings.Timer.Now()
+	classes := c.config.Classes()
+	for _, k := range classes {
+		c.updateClass(k)
+	}
+	for name := range c.classes {
+		if c.index.Named(name) == nil {
+			delete(c.classes, name)
+		}
+	}
+	for _, p := range c.config.Plans() {
+		cs := c.classes[p.Class]
+		if cs == nil {
+			continue
+		}
+		if cs.planSeenAt.IsZero() {
+			cs.planSeenAt = now
+		}
+		cs.plan = p
+		cs.stepper.SetPlan(p)
+		cs.addHomes(p)
+	}
+	c.setGrants(now)
+}
+
+func (c *Control) updateClass(k lovageyard.Class) {
+	cs := c.classes[k.Name]
+	if cs == nil {
+		cs = &classState{
+			stepper:    move.NewStepper(k.Target),
+			budget:     server.NewBudget(),
+			measuredAt: c.settings.Timer.Now(),
+		}
+		cs.addHome(c.self.FailureDomain)
+		c.classes[k.Name] = cs
+	}
+	cs.class = k
+	cs.stepper.SetTarget(k.Target)
+	extra := k.Target.EffectiveFailoverCap() - k.Target.Cap
+	switch {
+	case extra <= 0:
+		cs.forced = cs.stepper.Gate()
+	case cs.forced == nil || cs.forced == cs.stepper.Gate():
+		cs.forced = move.NewGate(extra, 0)
+	}
+}
+
+func (cs *classState) addHomes(p lovageyard.ClassPlan) {
+	for _, h := range p.Homes {
+		cs.addHome(h.FailureDomain)
+	}
+}
+
+func (cs *classState) addHome(failureDomain string) {
+	known := slices.ContainsFunc(cs.counts, func(c *route.HomeCount) bool {
+		return c.FailureDomain == failureDomain
+	})
+	if known {
+		return
+	}
+	cs.counts = append(slices.Clone(cs.counts), &route.HomeCount{FailureDomain: failureDomain})
+	cs.rates = append(cs.rates, &homeRate{failureDomain: failureDomain})
+}
+
+func (c *Control) setGrants(now time.Time) {
+	grants := make(map[string]lovageyard.GrantPlan)
+	for k, p := range c.pools {
+		if _, found := grants[k.service]; !found {
+			grants[k.service] = c.grants(k.service)
+		}
+		p.allowance.SetRate(grant.Rate(grants[k.service], c.self.Name, k.service, k.site), now)
+	}
+}
+
+// measure updates the measured demand of all classes.
+func (c *Control) measure(now time.Time) {
+	for _, cs := range c.classes {
+		cs.measure(now)
+		cs.setGates()
+	}
+}
+
+// setGates updates the gates with the current demand. It does so even when there is no move,
+// because a failover may use the gates at any time.
+func (cs *classState) setGates() {
+	target := cs.class.Target
+	total := cs.demand().Total
+	cs.stepper.Gate().Set(target.Cap, total)
+	if cs.forced != cs.stepper.Gate() {
+		cs.forced.Set(target.EffectiveFailoverCap()-target.Cap, total)
+	}
+}
+
+func (cs *classState) measure(now time.Time) {
+	passed := now.Sub(cs.measuredAt)
+	if passed <= 0 {
+		return
+	}
+	cs.measuredAt = now
+	weight := 1 - math.Exp(-passed.Seconds()/demandTimeConstant.Seconds())
+	for i, r := range cs.rates {
+		for b := range r.rates {
+			count := cs.counts[i].Buckets[b].Load()
+			rate := float64(count-r.lastCounts[b]) / passed.Seconds()
+			r.lastCounts[b] = count
+			r.rates[b] += weight * (rate - r.rates[b])
+		}
+	}
+}
+
+// demand returns the number of requests expected in one interval of the class's target.
+func (cs *classState) demand() move.Demand {
+	var d move.Demand
+	seconds := cs.class.Target.Interval.Std().Seconds()
+	for _, r := range cs.rates {
+		home := move.HomeDemand{FailureDomain: r.failureDomain, Buckets: make([]float64, lovageyard.Buckets)}
+		for b, rate := range r.rates {
+			home.Buckets[b] = rate * seconds
+			d.Total += home.Buckets[b]
+		}
+		d.Homes = append(d.Homes, home)
+	}
+	return d
+}
+
+// stepClasses takes the next step of each class for which one is due.
+func (c *Control) stepClasses(now time.Time) {
+	var neighbours []instance.Member
+	for name, cs := range c.classes {
+		if cs.plan.Step == 0 || cs.stepper.Adopted() && cs.idle(now) {
+			continue
+		}
+		if neighbours == nil {
+			neighbours = c.members.Neighbours()
+		}
+		c.adopt(cs, neighbours, now)
+		d := cs.demand()
+		if cs.stepper.Tick(now, d, c.neighboursBegan(name, cs.currentStep(), neighbours)) {
+			c.dirty = true
+			c.recordStep(cs, d)
+		}
+	}
+}
+
+// idle reports whether a class's stepper has nothing to do: its interval is not over, or an
+// earlier call found the current plan applied completely.
+func (cs *classState) idle(now time.Time) bool {
+	if !cs.stepper.Due(now) {
+		return true
+	}
+	if cs.settledStep == cs.plan.Step && cs.settledHomes == len(cs.plan.Homes) {
+		return true
+	}
+	if settled, _ := cs.stepper.Settled(move.Demand{}); settled == cs.plan.Step && cs.stepper.Resting() {
+		cs.settledStep = cs.plan.Step
+		cs.settledHomes = len(cs.plan.Homes)
+	}
+	return false
+}
+
+// recordStep records a step of a move as a decision.
+func (c *Control) recordStep(cs *classState, d move.Demand) {
+	step, left := cs.stepper.Settled(d)
+	c.settings.Recorder.Record(lovageyard.Decision{
+		Kind:     "move",
+		Class:    cs.class.Name,
+		PlanStep: step,
+		Share:    left,
+		Reason:   "step at this instance",
+	})
+}
+
+// adopt sets a class's first placement from the plan when no neighbor has reported what is
+// applied: at the plan's first step, or after a timeout.
+func (c *Control) adopt(cs *classState, neighbours []instance.Member, now time.Time) {
+	if cs.stepper.Adopted() {
+		return
+	}
+	alone := len(neighbours) == 0 && now.Sub(cs.planSeenAt) >= adoptTimeout/3
+	if cs.plan.Step == 1 || alone || now.Sub(cs.planSeenAt) >= adoptTimeout {
+		cs.stepper.Adopt(move.FromPlan(cs.plan), now)
+		c.dirty = true
+	}
+}
+
+// currentStep returns the plan step that the class is moving to, or 0 before its first placement.
+func (cs *classState) currentStep() int64 {
+	if !cs.stepper.Adopted() {
+		return 0
+	}
+	return cs.plan.Step
+}
+
+// neighboursBegan reports whether all neighbors have begun a plan step. A neighbor that reports
+// no step has settled on the plan of its configuration version.
+func (c *Control) neighboursBegan(class string, step int64, neighbours []instance.Member) bool {
+	version := c.planVersion(class)
+	for _, m := range neighbours {
+		begun, found := reportedStep(m, class)
+		if found && begun.Begun > 0 && begun.Begun < step || !found && m.Version < version {
+			return false
+		}
+	}
+	return true
+}
+
+func (c *Control) planVersion(class string) int64 {
+	row, _ := c.config.Row(lovageyard.TablePlans, class)
+	return row.Version
+}
+
+// reportedStep returns the step that a member reports for a class, and whether it reports one.
+func reportedStep(m instance.Member, class string) (instance.Step, bool) {
+	for _, s := range m.Steps {
+		if s.Class == class {
+			return s, true
+		}
+	}
+	return instance.Step{}, false
+}
+
+// ownSteps returns this instance's progress with each class's plan. Classes that have settled
+// are omitted.
+func (c *Control) ownSteps() []instance.Step {
+	var steps []instance.Step
+	for _, k := range c.index.All() {
+		cs := c.classes[k.Name]
+		if cs == nil || cs.plan.Step == 0 {
+			continue
+		}
+		settled, left := cs.stepper.Settled(cs.demand())
+		if settled == cs.plan.Step && cs.stepper.Resting() {
+			continue
+		}
+		steps = append(steps, instance.Step{Class: k.Name, Begun: cs.currentStep(), Settled: settled, Left: left})
+	}
+	return steps
+}
--- a/control/control.go
+++ b/control/control.go
@@ -23,34 +23,35 @@
 
 // Periods of the control loop.
 const (
-	tickEvery = 500 * time.Millisecond
-	// stepEvery is how finely the steps of moves are timed.
-	stepEvery   = 50 * time.Millisecond
-	pollEvery   = 500 * time.Millisecond
-	listEvery   = time.Second
-	blocksEvery = 10 * time.Second
-	planEvery   = time.Second
-	// reportEvery is the least period of reports of demand; each class adds reportPerClass,
-	// so that many classes cost no more than a few.
-	reportEvery    = 2 * time.Second
-	reportPerClass = 50 * time.Millisecond
-	probeEvery     = 2 * time.Second
-	// probeElsewhereEvery is the period of probes of other failure domains' servers.
-	probeElsewhereEvery = 10 * time.Second
-	// adoptPatience is how long an instance waits for a peer to tell what is applied.
-	adoptPatience = 3 * time.Second
-	// staleAfter is the time without word from a relay after which an instance reads the platform itself.
-	staleAfter = 4 * time.Second
-	inboxSize  = 256
+	tickPeriod = 500 * time.Millisecond
+	// stepPeriod is the resolution at which the steps of moves are timed.
+	stepPeriod   = 50 * time.Millisecond
+	pollPeriod   = 500 * time.Millisecond
+	listPeriod   = time.Second
+	blocksPeriod = 10 * time.Second
+	planPeriod   = time.Second
+	// minReportPeriod is the shortest period of demand reports. Each class adds reportPerClass,
+	// so that the cost of reporting does not grow with the number of classes.
+	minReportPeriod = 2 * time.Second
+	reportPerClass  = 50 * time.Millisecond
+	probePeriod     = 2 * time.Second
+	// remoteProbePeriod is the probe period for servers in other failure domains.
+	remoteProbePeriod = 10 * time.Second
+	// adoptTimeout is how long an instance waits for a peer to report the applied placement.
+	adoptTimeout = 3 * time.Second
+	// relayTimeout is the time without a reply from a relay after which an instance reads the
+	// platform itself.
+	relayTimeout = 4 * time.Second
+	inboxSize    = 256
 )
 
-// Peers reaches other entry instances.
+// Peers calls other entry instances. The methods are called concurrently.
 type Peers interface {
 	Exchange(ctx context.Context, address string, r *wire.ExchangeRequest) (*wire.ExchangeReply, error)
 	Report(ctx context.Context, address string, r *wire.DemandReport) error
 }
 
-// Settings are what a Control is made of.
+// Settings holds the dependencies and parameters of a Control.
 type Settings struct {
 	Self      lovageyard.EntryInstance
 	Table     lovageyard.Table
@@ -62,7 +63,8 @@
 	Recorder  lovageyard.Recorder
 	Logger    *logrus.Logger
 	Metrics   metrics.Registry
-	// SeedPeers are addresses of peers to ask when the platform can't be reached.
+	// SeedPeers lists addresses of peers to contact while no other instance is known, so that an
+	// instance can start while the platform is unreachable.
 	SeedPeers     []string
 	KeepFor       time.Duration
 	Headroom      float64
@@ -72,43 +74,43 @@
 	Seed          uint64
 }
 
-// Control runs the control loop of one entry instance.
+// Control runs the control loop of one entry instance. Its methods are safe for concurrent use.
 type Control struct {
 	settings Settings
 	inbox    *inbox.Inbox[*Control]
 	snapshot atomic.Pointer[route.Snapshot]
 
-	// All below belongs to the loop's goroutine.
+	// The fields below are accessed only by the loop's goroutine.
 	self    instance.Member
 	members *instance.Table
 	config  *configuration.State
 	blocks  *block.Table
-	// blocksZip is the table of blocks as it is passed on, at version blocksVer; newBlocks
-	// is the newest version that a peer has told of.
-	blocksZip []byte
-	blocksVer int64
-	newBlocks int64
-	listing   lovageyard.Listing
-	listedAt  time.Time
-	heardAt   time.Time
-	index     *class.Index
-	works     map[string]*work
-	pools     map[poolKey]*pool
-	marks     map[poolServer]lovageyard.InstanceState
-	reports   map[string]*report
-	planners  map[string]*planner
-	due       map[string]time.Time
-	random    *rand.Rand
-	dirty     bool
-	// tickedAt and steppedAt are the times of the last ticks that were worked off.
+	// compressedBlocks is the block table as sent to peers, at blocksVersion;
+	// newestBlocksVersion is the newest version that a peer has reported.
+	compressedBlocks    []byte
+	blocksVersion       int64
+	newestBlocksVersion int64
+	listing             lovageyard.Listing
+	listedAt            time.Time
+	relayReplyAt        time.Time
+	index               *class.Index
+	classes             map[string]*classState
+	pools               map[poolKey]*pool
+	marks               map[poolServer]lovageyard.InstanceState
+	reports             map[string]*report
+	planners            map[string]*planner
+	nextDue             map[string]time.Time
+	random              *rand.Rand
+	dirty               bool
+	// tickedAt and steppedAt are the times of the last ticks that were processed.
 	tickedAt  time.Time
 	steppedAt time.Time
 }
 
-// message is a typed message to the loop.
+// message is a message that the loop applies to the Control.
 type message = inbox.Message[*Control]
 
-// New returns a Control that Start sets going.
+// New returns a Control whose loop is not running yet; call Start to run it.
 func New(s Settings) *Control {
 	now := s.Timer.Now()
 	self := instance.Member{EntryInstance: s.Self}
@@ -122,31 +124,31 @@
 		config:   configuration.NewState(),
 		blocks:   blocks,
 		index:    class.NewIndex(nil),
-		works:    make(map[string]*work),
+		classes:  make(map[string]*classState),
 		pools:    make(map[poolKey]*pool),
 		marks:    make(map[poolServer]lovageyard.InstanceState),
 		reports:  make(map[string]*report),
 		planners: make(map[string]*planner),
-		due:      make(map[string]time.Time),
+		nextDue:  make(map[string]time.Time),
 		random:   rand.New(rand.NewPCG(s.Seed, s.Seed)),
 	}
 	c.publish()
 	return c
 }
 
-// Start sets the loop going.
+// Start starts the control loop.
 func (c *Control) Start() {
-	ticks := c.settings.Timer.Subscribe(tickEvery)
-	steps := c.settings.Timer.Subscribe(stepEvery)
+	ticks := c.settings.Timer.Subscribe(tickPeriod)
+	steps := c.settings.Timer.Subscribe(stepPeriod)
 	c.inbox.Own(func() { c.run(ticks, steps) })
 }
 
-// Close ends the loop and waits for it and for all calls that it began.
+// Close stops the loop and waits for it and for all calls that it started.
 func (c *Control) Close() {
 	c.inbox.Close()
 }
 
-// Snapshot returns the snapshot in force.
+// Snapshot returns the current routing snapshot. It is immutable and never nil.
 func (c *Control) Snapshot() *route.Snapshot {
 	return c.snapshot.Load()
 }
@@ -160,7 +162,7 @@
 		case now := <-ticks.C():
 			c.tick(now)
 		case now := <-steps.C():
-			c.stepWorks(now)
+			c.stepClasses(now)
 			c.steppedAt = now
 		case m := <-c.inbox.Messages():
 			m.Apply(c)
@@ -173,12 +175,12 @@
 	}
 }
 
-// every says whether an action of a name is due, and sets when it is due next.
-func (c *Control) every(name string, period time.Duration, now time.Time) bool {
-	if now.Before(c.due[name]) {
+// isDue reports whether a named action is due and, if so, schedules it again after period.
+func (c *Control) isDue(name string, period time.Duration, now time.Time) bool {
+	if now.Before(c.nextDue[name]) {
 		return false
 	}
-	c.due[name] = now.Add(period)
+	c.nextDue[name] = now.Add(period)
 	return true
 }
 
@@ -186,7 +188,7 @@
 	c.tickedAt = now
 	c.self.Heartbeat++
 	c.self.Version = c.config.Version()
-	c.self.Steps = c.steps()
+	c.self.Steps = c.ownSteps()
 	c.members.Hear(c.self, now)
 	if c.members.Tick(now) {
 		c.dirty = true
@@ -196,22 +198,22 @@
 	c.exchange(now)
 	c.measure(now)
 	c.expirePools(now)
-	if c.every("probe", probeEvery, now) {
+	if c.isDue("probe", probePeriod, now) {
 		c.probe(now)
 	}
-	if c.every("report", c.reportPeriod(), now) {
+	if c.isDue("report", c.reportPeriod(), now) {
 		c.sendReport(now)
 	}
-	if c.isRelay() && c.every("plan", planEvery, now) {
+	if c.isRelay() && c.isDue("plan", planPeriod, now) {
 		c.plan(now)
 	}
 }
 
 func (c *Control) reportPeriod() time.Duration {
-	return max(reportEvery, time.Duration(len(c.index.All()))*reportPerClass)
+	return max(minReportPeriod, time.Duration(len(c.index.All()))*reportPerClass)
 }
 
-// isRelay says whether this instance reads the platform for its failure domain.
+// isRelay reports whether this instance reads the platform on behalf of its failure domain.
 func (c *Control) isRelay() bool {
 	for _, name := range c.relays() {
 		if name == c.self.Name {
@@ -225,14 +227,14 @@
 	return c.members.Relays(c.self.FailureDomain)
 }
 
-// Leave makes the instance leave look-ups; it goes on serving.
+// Leave removes the instance from look-ups. It still serves requests.
 func (c *Control) Leave() {
-	c.inbox.Post(leave{})
+	c.inbox.Post(leaveMessage{})
 }
 
-type leave struct{}
+type leaveMessage struct{}
 
-func (leave) Apply(c *Control) {
+func (leaveMessage) Apply(c *Control) {
 	c.self.State = lovageyard.StateLeaving
 	c.self.Heartbeat++
 	now := c.settings.Timer.Now()
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -29,114 +29,115 @@
 	goleak.VerifyTestMain(m)
 }
 
-// testStep is how far the fake time goes at once, and maxSteps bounds every wait.
+// testStep is the increment of the fake clock; maxSteps limits every wait.
 const (
 	testStep = 100 * time.Millisecond
 	maxSteps = 600
-	// maxPolls bounds the wait for the goroutines of one step, in polls.
+	// maxPolls limits the number of polls for the goroutines to finish one step.
 	maxPolls = 200000
 )
 
-// yard is a set of entry instances in one process, on fake time.
-type yard struct {
+// testCluster is a set of entry instances in one process, with a fake clock.
+type testCluster struct {
 	c     *qt.C
 	clock *timer.Manual
 	store *memory.Store
 
-	mu       sync.Mutex
-	controls map[string]*Control
-	cut      map[string]bool
-	down     bool
+	mu           sync.Mutex
+	controls     map[string]*Control
+	partitioned  map[string]bool
+	platformDown bool
 }
 
-func newYard(t *testing.T) *yard {
-	y := &yard{
-		c:        qt.New(t),
-		clock:    timer.NewManual(time.Unix(1000, 0)),
-		store:    memory.NewStore(),
-		controls: make(map[string]*Control),
-		cut:      make(map[string]bool),
+func newTestCluster(t *testing.T) *testCluster {
+	cl := &testCluster{
+		c:           qt.New(t),
+		clock:       timer.NewManual(time.Unix(1000, 0)),
+		store:       memory.NewStore(),
+		controls:    make(map[string]*Control),
+		partitioned: make(map[string]bool),
 	}
 	for _, site := range []string{"a1", "a2", "b1"} {
-		y.store.SetBackendServer(lovageyard.BackendServer{
+		cl.store.SetBackendServer(lovageyard.BackendServer{
 			Name: site + "-desk", Service: "desk", Site: site, FailureDomain: site, Region: site[:1],
 			Address: site, Slots: 8, State: lovageyard.StateLive,
 		})
 	}
-	t.Cleanup(y.close)
-	return y
+	t.Cleanup(cl.close)
+	return cl
 }
 
-func (y *yard) close() {
-	for _, c := range y.controls {
+func (cl *testCluster) close() {
+	for _, c := range cl.controls {
 		c.Close()
 	}
 }
 
-// port is an instance's way to the platform and to its peers.
-type port struct {
+// instancePorts is an instance's connection to the platform and its peers. It fails while the
+// instance is partitioned.
+type instancePorts struct {
 	*memory.Store
-	yard *yard
-	name string
+	cluster *testCluster
+	name    string
 }
 
-func (p port) fault() error {
-	p.yard.mu.Lock()
-	defer p.yard.mu.Unlock()
-	if p.yard.down || p.yard.cut[p.name] {
-		return errors.New("cut off")
+func (p instancePorts) unreachable() error {
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
+	if p.cluster.platformDown || p.cluster.partitioned[p.name] {
+		return errors.New("network partition")
 	}
 	return nil
 }
 
-func (p port) Changes(ctx context.Context, tables []string, after int64) (lovageyard.Changes, error) {
-	if err := p.fault(); err != nil {
+func (p instancePorts) Changes(ctx context.Context, tables []string, after int64) (lovageyard.Changes, error) {
+	if err := p.unreachable(); err != nil {
 		return lovageyard.Changes{}, err
 	}
 	return p.Store.Changes(ctx, tables, after)
 }
 
-func (p port) Transact(ctx context.Context, t lovageyard.Transaction) (int64, error) {
-	if err := p.fault(); err != nil {
+func (p instancePorts) Transact(ctx context.Context, t lovageyard.Transaction) (int64, error) {
+	if err := p.unreachable(); err != nil {
 		return 0, err
 	}
 	return p.Store.Transact(ctx, t)
 }
 
-func (p port) Get(ctx context.Context, name string) (lovageyard.Object, error) {
-	if err := p.fault(); err != nil {
+func (p instancePorts) Get(ctx context.Context, name string) (lovageyard.Object, error) {
+	if err := p.unreachable(); err != nil {
 		return lovageyard.Object{}, err
 	}
 	return p.Store.Get(ctx, name)
 }
 
-func (p port) Listing(ctx context.Context) (lovageyard.Listing, error) {
-	if err := p.fault(); err != nil {
+func (p instancePorts) Listing(ctx context.Context) (lovageyard.Listing, error) {
+	if err := p.unreachable(); err != nil {
 		return lovageyard.Listing{}, err
 	}
 	return p.Store.Listing(ctx)
 }
 
-func (p port) reach(address string) (*Control, error) {
-	p.yard.mu.Lock()
-	defer p.yard.mu.Unlock()
-	peer := p.yard.controls[address]
-	if peer == nil || p.yard.cut[p.name] || p.yard.cut[address] {
+func (p instancePorts) findPeer(address string) (*Control, error) {
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
+	peer := p.cluster.controls[address]
+	if peer == nil || p.cluster.partitioned[p.name] || p.cluster.partitioned[address] {
 		return nil, errors.New("no route to " + address)
 	}
 	return peer, nil
 }
 
-func (p port) Exchange(ctx context.Context, address string, r *wire.ExchangeRequest) (*wire.ExchangeReply, error) {
-	peer, err := p.reach(address)
+func (p instancePorts) Exchange(ctx context.Context, address string, r *wire.ExchangeRequest) (*wire.ExchangeReply, error) {
+	peer, err := p.findPeer(address)
 	if err != nil {
 		return nil, err
 	}
 	return peer.Exchange(ctx, r)
 }
 
-func (p port) Report(ctx context.Context, address string, r *wire.DemandReport) error {
-	peer, err := p.reach(address)
+func (p instancePorts) Report(ctx context.Context, address string, r *wire.DemandReport) error {
+	peer, err := p.findPeer(address)
 	if err != nil {
 		return err
 	}
@@ -144,130 +145,131 @@
 	return err
 }
 
-func (p port) Stream(*http.Request, lovageyard.BackendServer) (*http.Response, error) {
+func (p instancePorts) Stream(*http.Request, lovageyard.BackendServer) (*http.Response, error) {
 	return nil, errors.New("no traffic in these tests")
 }
 
-func (p port) Probe(context.Context, lovageyard.BackendServer) (lovageyard.LoadReport, error) {
-	return lovageyard.LoadReport{Slots: 8}, p.fault()
+func (p instancePorts) Probe(context.Context, lovageyard.BackendServer) (lovageyard.LoadReport, error) {
+	return lovageyard.LoadReport{Slots: 8}, p.unreachable()
 }
 
-func (p port) Record(lovageyard.Decision) {}
+func (p instancePorts) Record(lovageyard.Decision) {}
 
-// start runs an instance; its name is its address, and its failure domain the name's start.
-func (y *yard) start(name string, life int64) *Control {
+// start runs an instance. Its name is also its address; the name's first two characters are
+// its failure domain, and the first one is its region.
+func (cl *testCluster) start(name string, incarnation int64) *Control {
 	self := lovageyard.EntryInstance{
-		Name: name, Incarnation: life, FailureDomain: name[:2], Region: name[:1],
+		Name: name, Incarnation: incarnation, FailureDomain: name[:2], Region: name[:1],
 		PeerAddress: name, CallerAddress: name, State: lovageyard.StateLive,
 	}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	p := port{Store: y.store, yard: y, name: name}
+	p := instancePorts{Store: cl.store, cluster: cl, name: name}
 	c := New(Settings{
-		Self: self, Table: p, Objects: p, Instances: p, Backend: p, Peers: p, Timer: y.clock, Recorder: p,
+		Self: self, Table: p, Objects: p, Instances: p, Backend: p, Peers: p, Timer: cl.clock, Recorder: p,
 		Logger: logger, Metrics: metrics.NewRegistry(), KeepFor: time.Second, Headroom: 0.2,
 		SeedPeers:     []string{"a1-1", "a1-2"},
 		Pool:          server.Settings{Mode: server.Shared, QueuePerSlot: 1},
 		Latencies:     placement.Latencies{SameRegion: time.Millisecond, Else: 10 * time.Millisecond},
-		LeaseDuration: 6 * time.Second, Seed: uint64(life),
+		LeaseDuration: 6 * time.Second, Seed: uint64(incarnation),
 	})
-	y.mu.Lock()
-	y.controls[name] = c
-	y.mu.Unlock()
-	y.store.SetEntryInstance(self)
+	cl.mu.Lock()
+	cl.controls[name] = c
+	cl.mu.Unlock()
+	cl.store.SetEntryInstance(self)
 	c.Start()
 	return c
 }
 
-func (y *yard) kill(name string) {
-	y.mu.Lock()
-	c := y.controls[name]
-	delete(y.controls, name)
-	y.mu.Unlock()
+func (cl *testCluster) kill(name string) {
+	cl.mu.Lock()
+	c := cl.controls[name]
+	delete(cl.controls, name)
+	cl.mu.Unlock()
 	c.Close()
 }
 
-func (y *yard) set(fault func()) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+func (cl *testCluster) withLock(fault func()) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	fault()
 }
 
-func (y *yard) put(name string, limit float64) {
+func (cl *testCluster) putClass(name string, limit float64) {
 	value, err := json.Marshal(lovageyard.Class{
 		Name: name, Service: "desk", Match: []lovageyard.Match{{PathPrefix: "/"}},
 		Deadline: lovageyard.Duration(time.Second),
 		Target:   lovageyard.Target{Cap: limit, Interval: lovageyard.Duration(time.Second)},
 	})
-	y.c.Assert(err, qt.IsNil)
-	y.write(lovageyard.Write{Table: lovageyard.TableClasses, Key: name, Value: value})
+	cl.c.Assert(err, qt.IsNil)
+	cl.write(lovageyard.Write{Table: lovageyard.TableClasses, Key: name, Value: value})
 }
 
-func (y *yard) write(w lovageyard.Write) {
+func (cl *testCluster) write(w lovageyard.Write) {
 	ctx := context.Background()
-	row, _ := y.store.Read(ctx, w.Table, w.Key)
-	_, err := y.store.Transact(ctx, lovageyard.Transaction{
+	row, _ := cl.store.Read(ctx, w.Table, w.Key)
+	_, err := cl.store.Transact(ctx, lovageyard.Transaction{
 		Conditions: []lovageyard.Condition{{Table: w.Table, Key: w.Key, Version: row.Version}},
 		Writes:     []lovageyard.Write{w},
 	})
-	y.c.Assert(err, qt.IsNil)
+	cl.c.Assert(err, qt.IsNil)
 }
 
-// until moves the time on until a condition holds, and returns how much time passed.
-func (y *yard) until(what string, holds func() bool) time.Duration {
+// waitFor advances the clock until a condition holds, and returns the time that passed.
+func (cl *testCluster) waitFor(what string, holds func() bool) time.Duration {
 	for n := range maxSteps {
 		if holds() {
 			return time.Duration(n) * testStep
 		}
-		y.clock.Advance(testStep)
-		y.settle()
+		cl.clock.Advance(testStep)
+		cl.settle()
 	}
-	y.c.Fatalf("%s did not come about in %s", what, maxSteps*testStep)
+	cl.c.Fatalf("%s: condition not met within %s", what, maxSteps*testStep)
 	return 0
 }
 
-// settle waits until every instance has worked off what the fake time made due.
-func (y *yard) settle() {
-	for _, c := range y.running() {
-		for n := 0; !c.settled(y.clock.Now()); n++ {
+// settle waits until every instance has processed all ticks up to the current time.
+func (cl *testCluster) settle() {
+	for _, c := range cl.running() {
+		for n := 0; !c.settled(cl.clock.Now()); n++ {
 			if n > maxPolls {
-				y.c.Fatalf("%s does not settle", c.self.Name)
+				cl.c.Fatalf("%s did not process its ticks", c.self.Name)
 			}
 			time.Sleep(50 * time.Microsecond)
 		}
 	}
 }
 
-func (y *yard) running() []*Control {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+func (cl *testCluster) running() []*Control {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var list []*Control
-	for _, c := range y.controls {
+	for _, c := range cl.controls {
 		list = append(list, c)
 	}
 	return list
 }
 
 func (c *Control) settled(now time.Time) bool {
-	settled, err := ask(context.Background(), c, func() bool {
-		return c.inbox.IsIdle() && c.steppedAt.Equal(now) && now.Sub(c.tickedAt) < tickEvery
+	settled, err := runQuery(context.Background(), c, func() bool {
+		return c.inbox.IsIdle() && c.steppedAt.Equal(now) && now.Sub(c.tickedAt) < tickPeriod
 	})
 	return settled && err == nil
 }
 
-func (y *yard) status(name string) operator.Status {
-	y.mu.Lock()
-	c := y.controls[name]
-	y.mu.Unlock()
+func (cl *testCluster) status(name string) operator.Status {
+	cl.mu.Lock()
+	c := cl.controls[name]
+	cl.mu.Unlock()
 	s, err := c.Status(context.Background())
-	y.c.Assert(err, qt.IsNil)
+	cl.c.Assert(err, qt.IsNil)
 	return s
 }
 
-func (y *yard) placed(class string, names ...string) bool {
+func (cl *testCluster) placed(class string, names ...string) bool {
 	for _, name := range names {
 		placed := false
-		for _, m := range y.status(name).Moves {
+		for _, m := range cl.status(name).Moves {
 			placed = placed || m.Class == class && m.Step > 0 && m.LocalStep == m.Step
 		}
 		if !placed {
@@ -277,69 +279,69 @@
 	return true
 }
 
-func (y *yard) siteOf(name, class, client string) operator.Explanation {
-	e, err := y.controls[name].Explain(context.Background(), class, netip.MustParseAddr(client))
-	y.c.Assert(err, qt.IsNil)
+func (cl *testCluster) explain(name, class, client string) operator.Explanation {
+	e, err := cl.controls[name].Explain(context.Background(), class, netip.MustParseAddr(client))
+	cl.c.Assert(err, qt.IsNil)
 	return e
 }
 
-var everyone = []string{"a1-1", "a1-2", "a1-3", "a2-1", "b1-1"}
+var allInstances = []string{"a1-1", "a1-2", "a1-3", "a2-1", "b1-1"}
 
-func (y *yard) startAll() {
-	for _, name := range everyone {
-		y.start(name, 1)
+func (cl *testCluster) startAll() {
+	for _, name := range allInstances {
+		cl.start(name, 1)
 	}
 }
 
 func TestClassIsPlacedEverywhere(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.put("lookups", 0.5)
-	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
-	for _, name := range everyone {
-		e := y.siteOf(name, "lookups", "192.0.2.1")
-		y.c.Assert(e.Site, qt.Equals, name[:2])
-		y.c.Assert(y.controls[name].Snapshot().Directory.Len(), qt.Equals, len(everyone))
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.putClass("lookups", 0.5)
+	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
+	for _, name := range allInstances {
+		e := cl.explain(name, "lookups", "192.0.2.1")
+		cl.c.Assert(e.Site, qt.Equals, name[:2])
+		cl.c.Assert(cl.controls[name].Snapshot().Directory.Len(), qt.Equals, len(allInstances))
 	}
 }
 
 func TestBlocksReachEveryInstance(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
+	cl := newTestCluster(t)
+	cl.startAll()
 	put := func(version int64, body string) int64 {
-		accepted, err := y.store.Put(context.Background(), lovageyard.Object{Name: "blocks", Version: version, Body: []byte(body)})
-		y.c.Assert(err, qt.IsNil)
+		accepted, err := cl.store.Put(context.Background(), lovageyard.Object{Name: "blocks", Version: version, Body: []byte(body)})
+		cl.c.Assert(err, qt.IsNil)
 		return accepted
 	}
 	have := func(count int, names ...string) bool {
 		for _, name := range names {
-			if y.status(name).Blocks != count {
+			if cl.status(name).Blocks != count {
 				return false
 			}
 		}
 		return true
 	}
 	first := put(0, `[{"prefix": "192.0.2.0/24", "failure-domain": "b1"}]`)
-	y.until("blocks", func() bool { return have(1, everyone...) })
+	cl.waitFor("blocks", func() bool { return have(1, allInstances...) })
 	put(first, `[{"prefix": "192.0.2.0/24", "failure-domain": "b1"}, {"prefix": "198.51.100.0/24", "failure-domain": "a1"}]`)
-	y.until("new blocks", func() bool { return have(2, everyone...) })
-	y.set(func() { y.down = true })
-	y.kill("a1-3")
-	y.start("a1-3", 2)
-	y.until("blocks from peers", func() bool { return have(2, "a1-3") })
+	cl.waitFor("new blocks", func() bool { return have(2, allInstances...) })
+	cl.withLock(func() { cl.platformDown = true })
+	cl.kill("a1-3")
+	cl.start("a1-3", 2)
+	cl.waitFor("blocks from peers", func() bool { return have(2, "a1-3") })
 }
 
 func TestDrainMovesWorkEverywhere(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.put("lookups", 0.5)
-	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.putClass("lookups", 0.5)
+	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
 	value, err := json.Marshal(lovageyard.SiteOrder{Site: "a1", Draining: true})
-	y.c.Assert(err, qt.IsNil)
-	y.write(lovageyard.Write{Table: lovageyard.TableSites, Key: "a1", Value: value})
-	y.until("drain", func() bool {
+	cl.c.Assert(err, qt.IsNil)
+	cl.write(lovageyard.Write{Table: lovageyard.TableSites, Key: "a1", Value: value})
+	cl.waitFor("drain", func() bool {
 		for _, name := range []string{"a1-1", "a1-2", "a1-3"} {
-			if y.siteOf(name, "lookups", "192.0.2.1").Site == "a1" {
+			if cl.explain(name, "lookups", "192.0.2.1").Site == "a1" {
 				return false
 			}
 		}
@@ -348,110 +350,111 @@
 }
 
 func TestPlatformDown(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.put("lookups", 0.5)
-	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
-	version := y.status("a1-1").Version
-	y.set(func() { y.down = true })
-	y.kill("a1-3")
-	y.until("the dead instance leaves look-ups", func() bool {
-		return y.controls["a1-1"].Snapshot().Directory.Len() == len(everyone)-1
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.putClass("lookups", 0.5)
+	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
+	version := cl.status("a1-1").Version
+	cl.withLock(func() { cl.platformDown = true })
+	cl.kill("a1-3")
+	cl.waitFor("the stopped instance is removed from look-ups", func() bool {
+		return cl.controls["a1-1"].Snapshot().Directory.Len() == len(allInstances)-1
 	})
-	// A replacement starts from its peers alone.
-	y.start("a1-3", 2)
-	y.until("the replacement has the placement", func() bool { return y.placed("lookups", "a1-3") })
-	y.c.Assert(y.status("a1-3").Version >= version, qt.IsTrue)
-	y.c.Assert(y.siteOf("a1-3", "lookups", "192.0.2.1").Site, qt.Equals, "a1")
-	y.c.Assert(y.status("a1-3").Pools, qt.HasLen, 3, qt.Commentf("the list of servers comes from peers too"))
+	// A replacement gets its state from its peers while the platform is down.
+	cl.start("a1-3", 2)
+	cl.waitFor("the replacement has the placement", func() bool { return cl.placed("lookups", "a1-3") })
+	cl.c.Assert(cl.status("a1-3").Version >= version, qt.IsTrue)
+	cl.c.Assert(cl.explain("a1-3", "lookups", "192.0.2.1").Site, qt.Equals, "a1")
+	cl.c.Assert(cl.status("a1-3").Pools, qt.HasLen, 3, qt.Commentf("the listing is also received from peers"))
 }
 
 func TestCutOffInstanceCatchesUp(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.put("lookups", 0.5)
-	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
-	y.set(func() { y.cut["a2-1"] = true })
-	before := y.status("a2-1").Version
-	y.put("charges", 0.5)
-	y.until("placement elsewhere", func() bool { return y.placed("charges", "a1-1", "b1-1") })
-	y.c.Assert(y.status("a2-1").Version, qt.Equals, before)
-	y.c.Assert(y.siteOf("a2-1", "lookups", "192.0.2.1").Site, qt.Equals, "a2")
-	y.set(func() { y.cut["a2-1"] = false })
-	took := y.until("catching up", func() bool { return y.placed("charges", "a2-1") })
-	y.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.putClass("lookups", 0.5)
+	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
+	cl.withLock(func() { cl.partitioned["a2-1"] = true })
+	before := cl.status("a2-1").Version
+	cl.putClass("charges", 0.5)
+	cl.waitFor("placement elsewhere", func() bool { return cl.placed("charges", "a1-1", "b1-1") })
+	cl.c.Assert(cl.status("a2-1").Version, qt.Equals, before)
+	cl.c.Assert(cl.explain("a2-1", "lookups", "192.0.2.1").Site, qt.Equals, "a2")
+	cl.withLock(func() { cl.partitioned["a2-1"] = false })
+	took := cl.waitFor("catching up", func() bool { return cl.placed("charges", "a2-1") })
+	cl.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
 }
 
 func TestRelayKilled(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.put("lookups", 0.5)
-	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.putClass("lookups", 0.5)
+	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
 	killed := ""
 	for _, name := range []string{"a1-1", "a1-2", "a1-3"} {
-		if killed == "" && y.status(name).Relay {
+		if killed == "" && cl.status(name).Relay {
 			killed = name
 		}
 	}
-	y.kill(killed)
-	y.put("charges", 0.5)
+	cl.kill(killed)
+	cl.putClass("charges", 0.5)
 	var rest []string
-	for _, name := range everyone {
+	for _, name := range allInstances {
 		if name != killed {
 			rest = append(rest, name)
 		}
 	}
-	took := y.until("placement by the rest", func() bool { return y.placed("charges", rest...) })
-	y.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
+	took := cl.waitFor("placement by the rest", func() bool { return cl.placed("charges", rest...) })
+	cl.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
 }
 
 func TestLeave(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.put("lookups", 0.5)
-	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
-	y.controls["a1-2"].Leave()
-	took := y.until("leaving look-ups", func() bool {
-		for _, name := range everyone {
-			if y.controls[name].Snapshot().Directory.Len() != len(everyone)-1 {
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.putClass("lookups", 0.5)
+	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
+	cl.controls["a1-2"].Leave()
+	took := cl.waitFor("removal from look-ups", func() bool {
+		for _, name := range allInstances {
+			if cl.controls[name].Snapshot().Directory.Len() != len(allInstances)-1 {
 				return false
 			}
 		}
 		return true
 	})
-	y.c.Assert(took <= 5*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
-	y.c.Assert(y.controls["a1-2"].Snapshot().Leaving, qt.IsTrue)
+	cl.c.Assert(took <= 5*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
+	cl.c.Assert(cl.controls["a1-2"].Snapshot().Leaving, qt.IsTrue)
 }
 
 func TestServerLeavingIsKnownInTheDomain(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.until("listing", func() bool { return len(y.status("a1-1").Pools) == 3 && len(y.status("a1-2").Pools) == 3 })
-	y.controls["a1-1"].ServerLeaving("desk", "a1", "a1-desk")
-	took := y.until("no new work", func() bool {
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.waitFor("listing", func() bool { return len(cl.status("a1-1").Pools) == 3 && len(cl.status("a1-2").Pools) == 3 })
+	cl.controls["a1-1"].ServerLeaving("desk", "a1", "a1-desk")
+	took := cl.waitFor("no available server", func() bool {
 		for _, name := range []string{"a1-1", "a1-2", "a1-3"} {
-			if y.status(name).Pools[0].Available != 0 {
+			if cl.status(name).Pools[0].Available != 0 {
 				return false
 			}
 		}
 		return true
 	})
-	y.c.Assert(took <= 3*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
+	cl.c.Assert(took <= 3*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
 }
 
-// TestSuspectsAreProbedEverywhere checks that no instance suspects a server for ever.
+// TestSuspectsAreProbedEverywhere guards against servers that stay suspect permanently: every
+// instance probes its suspect servers, also those of other failure domains.
 func TestSuspectsAreProbedEverywhere(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.put("lookups", 0.5)
-	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
-	for _, name := range everyone {
-		y.controls[name].Snapshot().Work("lookups").Sites[2].Pool.Suspect("b1-desk")
-		y.controls[name].Snapshot().Work("lookups").Sites[0].Pool.Suspect(name[:2] + "-desk")
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.putClass("lookups", 0.5)
+	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
+	for _, name := range allInstances {
+		cl.controls[name].Snapshot().Work("lookups").Sites[2].Pool.Suspect("b1-desk")
+		cl.controls[name].Snapshot().Work("lookups").Sites[0].Pool.Suspect(name[:2] + "-desk")
 	}
-	y.until("probes lift the suspicion", func() bool {
-		for _, name := range everyone {
-			for _, p := range y.status(name).Pools {
+	cl.waitFor("probes clear the suspect state", func() bool {
+		for _, name := range allInstances {
+			for _, p := range cl.status(name).Pools {
 				if p.Available == 0 {
 					return false
 				}
@@ -461,14 +464,14 @@
 	})
 }
 
-// TestFailoverUsesTheCapAtRest loses a site while nothing moves, and counts the requests
-// that go elsewhere: as many as the cap allows of the present demand, not of an earlier one.
+// TestFailoverUsesTheCapAtRest guards against a gate that is only updated during moves: when a
+// site fails without a move in progress, the cap must apply to the current demand.
 func TestFailoverUsesTheCapAtRest(t *testing.T) {
-	y := newYard(t)
-	y.startAll()
-	y.put("lookups", 0.5)
-	y.until("placement", func() bool { return y.placed("lookups", everyone...) })
-	c := y.controls["a1-1"]
+	cl := newTestCluster(t)
+	cl.startAll()
+	cl.putClass("lookups", 0.5)
+	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
+	c := cl.controls["a1-1"]
 	place, home := c.Snapshot().Place(netip.MustParseAddr("192.0.2.1"))
 	const rounds, perRound = 150, 20
 	forced := 0
@@ -480,10 +483,10 @@
 				forced++
 			}
 		}
-		y.clock.Advance(testStep)
-		y.settle()
+		cl.clock.Advance(testStep)
+		cl.settle()
 	}
 	asked := rounds / 2 * perRound
-	y.c.Assert(forced <= asked/2+1, qt.IsTrue, qt.Commentf("%d of %d", forced, asked))
-	y.c.Assert(forced >= asked*2/5, qt.IsTrue, qt.Commentf("%d of %d", forced, asked))
+	cl.c.Assert(forced <= asked/2+1, qt.IsTrue, qt.Commentf("%d of %d", forced, asked))
+	cl.c.Assert(forced >= asked*2/5, qt.IsTrue, qt.Commentf("%d of %d", forced, asked))
 }
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -15,34 +15,34 @@
 
 // Limits of the exchange.
 const (
-	exchangeEvery = time.Second
-	// maxMembers bounds the members that one message passes on.
+	exchangePeriod = time.Second
+	// maxMembers is the maximum number of members in one message.
 	maxMembers = 16
 )
 
-// exchange begins the exchanges that are due: with the relays and one other neighbour,
-// with one instance elsewhere if this one is a relay, and with the seed peers while
-// nobody else is known.
+// exchange starts the exchanges that are due: with the relays and one random neighbor, with a
+// relay of another failure domain if this instance is a relay, and with the seed peers while
+// no configuration or no neighbor is known.
 func (c *Control) exchange(now time.Time) {
-	if !c.every("exchange", exchangeEvery, now) {
+	if !c.isDue("exchange", exchangePeriod, now) {
 		return
 	}
-	for _, address := range c.partners() {
+	for _, address := range c.exchangeAddresses() {
 		c.exchangeWith(address)
 	}
 }
 
-// exchangeAll begins an exchange with every neighbour and a few instances elsewhere.
+// exchangeAll starts an exchange with every neighbor and a few relays of other failure domains.
 func (c *Control) exchangeAll(time.Time) {
 	for _, m := range c.members.Neighbours() {
 		c.exchangeWith(m.PeerAddress)
 	}
 	for range instance.Relays {
-		c.exchangeWith(c.elsewhere())
+		c.exchangeWith(c.remoteRelay())
 	}
 }
 
-func (c *Control) partners() []string {
+func (c *Control) exchangeAddresses() []string {
 	var addresses []string
 	relays := c.relays()
 	neighbours := c.members.Neighbours()
@@ -57,7 +57,7 @@
 		addresses = append(addresses, neighbours[c.random.IntN(len(neighbours))].PeerAddress)
 	}
 	if c.isRelay() {
-		addresses = append(addresses, c.elsewhere())
+		addresses = append(addresses, c.remoteRelay())
 	}
 	if c.config.Version() == 0 || len(neighbours) == 0 {
 		addresses = append(addresses, c.settings.SeedPeers...)
@@ -65,9 +65,9 @@
 	return addresses
 }
 
-// elsewhere returns the address of a relay of a random other failure domain, or "". Relays
-// hear their own failure domain first hand, so that word goes round fastest among them.
-func (c *Control) elsewhere() string {
+// remoteRelay returns the address of a relay of a random other failure domain, or "". Updates
+// spread fastest among relays, because they receive those of their failure domain directly.
+func (c *Control) remoteRelay() string {
 	domains := slices.DeleteFunc(c.failureDomains(), func(name string) bool { return name == c.self.FailureDomain })
 	if len(domains) == 0 {
 		return ""
@@ -89,26 +89,26 @@
 		Marks:         c.wireMarks(),
 		Version:       c.config.Version(),
 		WantApplied:   c.wantsApplied(),
-		BlocksVersion: c.blocksVer,
-		WantBlocks:    c.newBlocks > c.blocksVer,
-		WantListing:   c.settings.Timer.Now().Sub(c.listedAt) > 2*listEvery,
+		BlocksVersion: c.blocksVersion,
+		WantBlocks:    c.newestBlocksVersion > c.blocksVersion,
+		WantListing:   c.settings.Timer.Now().Sub(c.listedAt) > 2*listPeriod,
 	}
 	c.inbox.Call("exchange "+address, func(ctx context.Context) message {
 		reply, err := c.settings.Peers.Exchange(ctx, address, request)
-		return exchanged{reply: reply, err: err}
+		return exchangeResult{reply: reply, err: err}
 	})
 }
 
 func (c *Control) wantsApplied() bool {
-	for _, w := range c.works {
-		if !w.stepper.Adopted() {
+	for _, cs := range c.classes {
+		if !cs.stepper.Adopted() {
 			return true
 		}
 	}
 	return c.config.Version() == 0
 }
 
-// wireMembers returns the members to pass on.
+// wireMembers returns a selection of members to send to a peer.
 func (c *Control) wireMembers() []*wire.Member {
 	var out []*wire.Member
 	for _, m := range c.members.Gossip(maxMembers, c.settings.Timer.Now()) {
@@ -130,53 +130,53 @@
 	return marks
 }
 
-// exchanged is the end of an exchange that this instance began.
-type exchanged struct {
+// exchangeResult is the result of an exchange that this instance started.
+type exchangeResult struct {
 	reply *wire.ExchangeReply
 	err   error
 }
 
-func (m exchanged) Apply(c *Control) {
+func (m exchangeResult) Apply(c *Control) {
 	if m.err != nil {
 		c.settings.Logger.WithError(m.err).Debug("exchange failed")
 		return
 	}
 	now := c.settings.Timer.Now()
 	from := peer.ToMember(m.reply.GetFrom())
-	c.hear(m.reply.GetFrom(), m.reply.GetMembers(), m.reply.GetMarks())
+	c.applyGossip(m.reply.GetFrom(), m.reply.GetMembers(), m.reply.GetMarks())
 	if m.reply.GetChanges() != nil {
-		c.hearChanges(m.reply.GetChanges())
+		c.receiveChanges(m.reply.GetChanges())
 	}
 	for _, a := range m.reply.GetApplied() {
-		if w := c.works[a.GetClass()]; w != nil && !w.stepper.Adopted() {
-			w.stepper.Adopt(peer.ToApplied(a), now)
+		if cs := c.classes[a.GetClass()]; cs != nil && !cs.stepper.Adopted() {
+			cs.stepper.Adopt(peer.ToApplied(a), now)
 			c.dirty = true
 		}
 	}
 	if listing := m.reply.GetListing(); len(listing) > 0 {
 		age := time.Duration(m.reply.GetListingAgeMs()) * time.Millisecond
-		c.hearListing(listing, now.Add(-age))
+		c.receiveListing(listing, now.Add(-age))
 	}
-	c.newBlocks = max(c.newBlocks, m.reply.GetBlocksVersion())
+	c.newestBlocksVersion = max(c.newestBlocksVersion, m.reply.GetBlocksVersion())
 	if zipped := m.reply.GetBlocks(); len(zipped) > 0 {
-		c.hearBlocks(zipped, m.reply.GetBlocksVersion())
+		c.receiveBlocks(zipped, m.reply.GetBlocksVersion())
 	}
 	if slices.Contains(c.relays(), from.Name) {
-		c.heardAt = now
+		c.relayReplyAt = now
 	}
 }
 
-func (c *Control) hearChanges(w *wire.Changes) {
+func (c *Control) receiveChanges(w *wire.Changes) {
 	changes, err := peer.ToChanges(w)
 	if err != nil {
-		c.settings.Logger.WithError(err).Warn("a peer's changes could not be read")
+		c.settings.Logger.WithError(err).Warn("decoding a peer's changes failed")
 		return
 	}
 	c.applyChanges(changes)
 }
 
-// hearListing takes in the platform's list as a peer has read it, if it is newer.
-func (c *Control) hearListing(data []byte, readAt time.Time) {
+// receiveListing applies a listing that a peer read from the platform, if it is newer.
+func (c *Control) receiveListing(data []byte, readAt time.Time) {
 	var l lovageyard.Listing
 	if !readAt.After(c.listedAt) || json.Unmarshal(data, &l) != nil {
 		return
@@ -184,13 +184,13 @@
 	c.setListing(l, readAt)
 }
 
-// hear takes in what a peer says of itself and of others.
-func (c *Control) hear(from *wire.Member, members []*wire.Member, marks []*wire.ServerMark) {
+// applyGossip applies a peer's report about itself, other members and servers.
+func (c *Control) applyGossip(from *wire.Member, members []*wire.Member, marks []*wire.ServerMark) {
 	now := c.settings.Timer.Now()
 	before := len(c.members.Live())
-	c.hearMember(from, now)
+	c.applyMember(from, now)
 	for _, m := range members {
-		c.hearMember(m, now)
+		c.applyMember(m, now)
 	}
 	if len(c.members.Live()) != before {
 		c.dirty = true
@@ -198,12 +198,12 @@
 	for _, m := range marks {
 		k := poolServer{poolKey: poolKey{service: m.GetService(), site: m.GetSite()}, server: m.GetServer()}
 		if _, known := c.marks[k]; !known {
-			serverMarked{poolServer: k, state: lovageyard.InstanceState(m.GetState())}.Apply(c)
+			serverMark{poolServer: k, state: lovageyard.InstanceState(m.GetState())}.Apply(c)
 		}
 	}
 }
 
-func (c *Control) hearMember(w *wire.Member, now time.Time) {
+func (c *Control) applyMember(w *wire.Member, now time.Time) {
 	m := peer.ToMember(w)
 	if m.Name == "" || m.Name == c.self.Name {
 		return
@@ -213,10 +213,10 @@
 	}
 }
 
-// Exchange answers the exchange that a peer began.
+// Exchange handles an exchange that a peer started.
 func (c *Control) Exchange(ctx context.Context, r *wire.ExchangeRequest) (*wire.ExchangeReply, error) {
 	reply := make(chan *wire.ExchangeReply, 1)
-	if !c.inbox.Post(exchangeAsked{request: r, reply: reply}) {
+	if !c.inbox.Post(exchangeQuery{request: r, reply: reply}) {
 		return nil, context.Canceled
 	}
 	select {
@@ -229,22 +229,22 @@
 	}
 }
 
-type exchangeAsked struct {
+type exchangeQuery struct {
 	request *wire.ExchangeRequest
 	reply   chan *wire.ExchangeReply
 }
 
-func (m exchangeAsked) Apply(c *Control) {
+func (m exchangeQuery) Apply(c *Control) {
 	r := m.request
-	c.hear(r.GetFrom(), r.GetMembers(), r.GetMarks())
+	c.applyGossip(r.GetFrom(), r.GetMembers(), r.GetMarks())
 	answer := &wire.ExchangeReply{
 		From:    peer.FromMember(c.self),
 		Members: c.wireMembers(),
 		Marks:   c.wireMarks(),
 	}
-	answer.BlocksVersion = c.blocksVer
-	if r.GetWantBlocks() && r.GetBlocksVersion() < c.blocksVer {
-		answer.Blocks = c.blocksZip
+	answer.BlocksVersion = c.blocksVersion
+	if r.GetWantBlocks() && r.GetBlocksVersion() < c.blocksVersion {
+		answer.Blocks = c.compressedBlocks
 	}
 	if r.GetVersion() < c.config.Version() {
 		answer.Changes = peer.FromChanges(c.config.Since(r.GetVersion()))
@@ -261,14 +261,14 @@
 
 func (c *Control) wireApplied() []*wire.Applied {
 	var out []*wire.Applied
-	for name, w := range c.works {
-		if w.stepper.Adopted() {
-			out = append(out, peer.FromApplied(name, appliedOf(w)))
+	for name, cs := range c.classes {
+		if cs.stepper.Adopted() {
+			out = append(out, peer.FromApplied(name, appliedPlacement(cs)))
 		}
 	}
 	return out
 }
 
-func appliedOf(w *work) move.Applied {
-	return w.stepper.Applied()
+func appliedPlacement(cs *classState) move.Applied {
+	return cs.stepper.Applied()
 }
--- a/control/grants.go
+++ b/control/grants.go
@@ -10,7 +10,7 @@
 	"lovageyard.example/lovageyard/placement"
 )
 
-// grantInput is what the planner needs to write the grants.
+// grantInput is the input for writing the grants of one service.
 type grantInput struct {
 	service string
 	plan    lovageyard.GrantPlan
@@ -19,11 +19,11 @@
 }
 
 func (c *Control) grantInput(v *view, service string) grantInput {
-	typical := v.typicalService(service)
+	typical := v.meanServiceTime(service)
 	var spares []grant.Spare
 	for _, key := range c.sortedPools() {
 		if key.service == service {
-			spares = append(spares, c.spare(v, key, typical))
+			spares = append(spares, c.spareCapacity(v, key, typical))
 		}
 	}
 	var holders []string
@@ -40,21 +40,21 @@
 	}
 }
 
-// spare returns what one service of a site can carry beyond its planned load.
-func (c *Control) spare(v *view, key poolKey, typical float64) grant.Spare {
+// spareCapacity returns the capacity of a service at a site and its planned load.
+func (c *Control) spareCapacity(v *view, key poolKey, typical float64) grant.Spare {
 	p := c.pools[key]
-	service := v.service(key, typical)
+	service := v.serviceTime(key, typical)
 	s := grant.Spare{
 		Service: key.service,
 		Site:    key.site,
-		Known:   v.age(key) < placement.FreshFor && service > 0 && v.alive(key, p),
+		Known:   v.reportAge(key) < placement.FreshFor && service > 0 && v.alive(key, p),
 	}
 	if service > 0 {
 		s.Capacity = float64(v.slots(key, p)) / service * (1 - c.settings.Headroom)
 	}
 	for _, k := range c.index.All() {
 		if k.Service == key.service {
-			s.Load += v.planned(k.Name, key.site)
+			s.Load += v.plannedLoad(k.Name, key.site)
 		}
 	}
 	return s
@@ -69,6 +69,6 @@
 		err = c.writeUnderLease(ctx, l, lovageyard.TableGrants, in.service, in.version, value)
 	}
 	if err != nil {
-		c.settings.Logger.WithError(err).Debug("the grants could not be written")
+		c.settings.Logger.WithError(err).Debug("writing the grants failed")
 	}
 }
--- a/control/planner.go
+++ b/control/planner.go
@@ -16,14 +16,14 @@
 	"lovageyard.example/lovageyard/placement"
 )
 
-// candidates is the number of relays that may hold the planner's lease of a service.
-const candidates = 2
+// plannerCandidates is the number of relays that may acquire the planner lease of a service.
+const plannerCandidates = 2
 
-// grantTolerance is the relative change of a grant that is worth a new row.
+// grantTolerance is the smallest relative change of a grant for which the row is rewritten.
 const grantTolerance = 0.1
 
-// planner is this instance's part in planning one service. The lease is used by one
-// call at a time, outside the loop; the record is the loop's.
+// planner is this instance's planning state for one service. The lease is used by one call at
+// a time, outside the loop; record is accessed only by the loop.
 type planner struct {
 	lease  *lease.Lease
 	record lease.Record
@@ -33,8 +33,8 @@
 	return i.Name + "/" + strconv.FormatInt(i.Incarnation, 10)
 }
 
-// candidatesFor returns the names of the relays that may plan a service: the highest
-// rendezvous hashes over the first relays of all failure domains.
+// candidatesFor returns the names of the relays that may plan a service: those with the highest
+// rendezvous hashes among the first relays of all failure domains.
 func (c *Control) candidatesFor(service string) []string {
 	var names []string
 	for _, failureDomain := range c.failureDomains() {
@@ -42,10 +42,10 @@
 			names = append(names, relays[0])
 		}
 	}
-	return instance.Choose(names, service, candidates)
+	return instance.Choose(names, service, plannerCandidates)
 }
 
-// services returns the services that classes name.
+// services returns the services of all classes, sorted and without duplicates.
 func (c *Control) services() []string {
 	var names []string
 	for _, k := range c.index.All() {
@@ -55,7 +55,7 @@
 	return slices.Compact(names)
 }
 
-// plan begins a round of planning for each service that this instance may plan.
+// plan starts a planning round for each service that this instance may plan.
 func (c *Control) plan(now time.Time) {
 	if c.self.State != lovageyard.StateLive {
 		return
@@ -67,8 +67,8 @@
 	}
 }
 
-// planService takes or renews the lease of a service and, if it is held, places its
-// classes. The round works on copies, outside the loop.
+// planService acquires or renews the lease of a service and, while it is held, places the
+// service's classes. The round runs outside the loop, on copies of its state.
 func (c *Control) planService(service string, now time.Time) {
 	name := "plan " + service
 	if c.inbox.IsCalling(name) {
@@ -83,7 +83,7 @@
 	inputs := c.plannerInputs(v, service)
 	grants := c.grantInput(v, service)
 	c.inbox.Call(name, func(ctx context.Context) message {
-		result := planned{service: service, err: p.lease.Try(ctx, c.settings.Timer)}
+		result := planResult{service: service, err: p.lease.Try(ctx, c.settings.Timer)}
 		result.record = p.lease.Record()
 		if result.err != nil || !p.lease.Held(c.settings.Timer.Now()) {
 			return result
@@ -96,17 +96,17 @@
 	})
 }
 
-// planned is the end of a round for one service.
-type planned struct {
+// planResult is the result of a planning round for one service.
+type planResult struct {
 	service string
 	record  lease.Record
-	rounds  []planRound
+	rounds  []classRound
 	err     error
 }
 
-func (m planned) Apply(c *Control) {
+func (m planResult) Apply(c *Control) {
 	if m.err != nil {
-		c.settings.Logger.WithError(m.err).Debug("the planner's lease could not be tried")
+		c.settings.Logger.WithError(m.err).Debug("acquiring or renewing the planner lease failed")
 	}
 	p := c.planners[m.service]
 	if m.record.Epoch != p.record.Epoch {
@@ -124,15 +124,15 @@
 	}
 }
 
-// planRound is the end of one round for one class.
-type planRound struct {
+// classRound is the result of a planning round for one class.
+type classRound struct {
 	output placement.Output
 	err    error
 }
 
-func (c *Control) recordRound(r planRound) {
+func (c *Control) recordRound(r classRound) {
 	if r.err != nil {
-		c.settings.Logger.WithError(r.err).Warn("a plan could not be written")
+		c.settings.Logger.WithError(r.err).Warn("writing a plan failed")
 		return
 	}
 	if !r.output.Changed {
@@ -150,25 +150,25 @@
 	c.settings.Recorder.Record(d)
 }
 
-// plannerInput is the input of one class's round, with the version of its plan's row.
+// plannerInput is the input of a planning round for one class, with the version of the plan's row.
 type plannerInput struct {
 	placement.Input
 	version int64
 }
 
-// planClass makes one round for one class and writes the plan if it changed. The write
-// holds only under the lease and the plan version that the round was based on.
-func (c *Control) planClass(ctx context.Context, l *lease.Lease, in plannerInput) planRound {
+// planClass runs a planning round for one class and writes the plan if it changed. The write is
+// conditional on the lease and on the plan version that the round was based on.
+func (c *Control) planClass(ctx context.Context, l *lease.Lease, in plannerInput) classRound {
 	in.Epoch = l.Record().Epoch
 	out := placement.Round(in.Input)
 	if !out.Changed {
-		return planRound{output: out}
+		return classRound{output: out}
 	}
 	value, err := json.Marshal(out.Plan)
 	if err != nil {
-		return planRound{output: out, err: errors.Wrap(err, "plan")}
+		return classRound{output: out, err: errors.Wrap(err, "plan")}
 	}
-	return planRound{output: out, err: c.writeUnderLease(ctx, l, lovageyard.TablePlans, in.Class.Name, in.version, value)}
+	return classRound{output: out, err: c.writeUnderLease(ctx, l, lovageyard.TablePlans, in.Class.Name, in.version, value)}
 }
 
 func (c *Control) writeUnderLease(ctx context.Context, l *lease.Lease, table, key string, version int64, value []byte) error {
@@ -182,16 +182,16 @@
 	return errors.Wrap(err, table+"/"+key)
 }
 
-// plannerInputs gathers the inputs of a service's classes.
+// plannerInputs returns the inputs for the classes of a service.
 func (c *Control) plannerInputs(view *view, service string) []plannerInput {
 	var inputs []plannerInput
 	for _, k := range c.index.All() {
-		w := c.works[k.Name]
-		if w == nil || k.Service != service {
+		cs := c.classes[k.Name]
+		if cs == nil || k.Service != service {
 			continue
 		}
 		row, _ := c.config.Row(lovageyard.TablePlans, k.Name)
-		reached, left := c.reached(k.Name)
+		reached, left := c.reachedStep(k.Name)
 		inputs = append(inputs, plannerInput{
 			version: row.Version,
 			Input: placement.Input{
@@ -202,7 +202,7 @@
 				Homes:     view.homes(k.Name),
 				Latencies: c.settings.Latencies,
 				Headroom:  c.settings.Headroom,
-				Current:   w.plan,
+				Current:   cs.plan,
 				Reached:   reached,
 				Left:      left,
 			},
@@ -211,9 +211,9 @@
 	return inputs
 }
 
-// reached returns the plan step of a class that every failure domain applies in full, and
-// the largest share of work that one of them still has to move, by the merged reports.
-func (c *Control) reached(class string) (step int64, left float64) {
+// reachedStep returns the plan step of a class that every failure domain has applied completely,
+// and the largest share of traffic that any of them still has to move, from the merged reports.
+func (c *Control) reachedStep(class string) (step int64, left float64) {
 	step = math.MaxInt64
 	now := c.settings.Timer.Now()
 	for _, r := range c.reports {
@@ -233,25 +233,25 @@
 	return step, left
 }
 
-// domainSteps returns, for each class, the least step that all live instances of the own
-// failure domain apply in full, and the largest share that one still has to move.
+// domainSteps returns, for each class, the lowest step that all live instances of this failure
+// domain have applied completely, and the largest share that any of them still has to move.
 func (c *Control) domainSteps() []instance.Step {
 	members := append(c.members.Neighbours(), c.self)
 	var steps []instance.Step
 	for _, k := range c.index.All() {
-		w := c.works[k.Name]
-		if w == nil || w.plan.Step == 0 {
+		cs := c.classes[k.Name]
+		if cs == nil || cs.plan.Step == 0 {
 			continue
 		}
-		sum := instance.Step{Class: k.Name, Settled: w.plan.Step}
+		sum := instance.Step{Class: k.Name, Settled: cs.plan.Step}
 		version := c.planVersion(k.Name)
 		for _, m := range members {
-			s, told := stepOf(m, k.Name)
-			if !told && m.Version < version {
-				s.Settled = w.plan.Step - 1
-				told = true
+			s, found := reportedStep(m, k.Name)
+			if !found && m.Version < version {
+				s.Settled = cs.plan.Step - 1
+				found = true
 			}
-			if told {
+			if found {
 				sum.Settled = min(sum.Settled, s.Settled)
 				sum.Left = max(sum.Left, s.Left)
 			}
--- a/control/platform.go
+++ b/control/platform.go
@@ -13,31 +13,31 @@
 	"lovageyard.example/lovageyard/peer"
 )
 
-// readPlatform begins the reads of the platform that are due. Relays read for their
-// failure domain; another instance reads only when no relay has spoken for a while.
+// readPlatform starts the reads of the platform that are due. Relays read on behalf of their
+// failure domain; other instances read only if no relay has replied for relayTimeout.
 func (c *Control) readPlatform(now time.Time) {
-	if !c.isRelay() && now.Sub(c.heardAt) < staleAfter {
+	if !c.isRelay() && now.Sub(c.relayReplyAt) < relayTimeout {
 		return
 	}
-	if c.every("poll", pollEvery, now) {
+	if c.isDue("poll", pollPeriod, now) {
 		c.poll()
 	}
-	if c.every("list", listEvery, now) {
+	if c.isDue("list", listPeriod, now) {
 		c.list()
 	}
-	if c.every("blocks", blocksEvery, now) {
+	if c.isDue("blocks", blocksPeriod, now) {
 		c.readBlocks()
 	}
 }
 
-// Poll reads the platform's changes at once, as after a write of an operator.
+// Poll reads the platform's changes immediately, for example after an operator's write.
 func (c *Control) Poll() {
-	c.inbox.Post(pollAsked{})
+	c.inbox.Post(pollQuery{})
 }
 
-type pollAsked struct{}
+type pollQuery struct{}
 
-func (pollAsked) Apply(c *Control) {
+func (pollQuery) Apply(c *Control) {
 	c.poll()
 }
 
@@ -45,16 +45,16 @@
 	after := c.config.Version()
 	c.inbox.Call("poll", func(ctx context.Context) message {
 		changes, err := c.settings.Table.Changes(ctx, configuration.Tables(), after)
-		return polled{changes: changes, err: err}
+		return pollResult{changes: changes, err: err}
 	})
 }
 
-type polled struct {
+type pollResult struct {
 	changes lovageyard.Changes
 	err     error
 }
 
-func (m polled) Apply(c *Control) {
+func (m pollResult) Apply(c *Control) {
 	c.counter("platform.reads").Inc(1)
 	if m.err != nil {
 		c.settings.Logger.WithError(m.err).Debug("the platform's changes could not be read")
@@ -63,11 +63,11 @@
 	c.applyChanges(m.changes)
 }
 
-// applyChanges takes in changes of the configuration from the platform or a peer.
+// applyChanges applies configuration changes from the platform or a peer.
 func (c *Control) applyChanges(changes lovageyard.Changes) {
 	advanced, err := c.config.Apply(changes)
 	if err != nil {
-		c.settings.Logger.WithError(err).Debug("changes refused")
+		c.settings.Logger.WithError(err).Debug("configuration changes rejected")
 		return
 	}
 	if !advanced {
@@ -75,7 +75,7 @@
 	}
 	if len(changes.Rows) > 0 {
 		c.index = class.NewIndex(c.config.Classes())
-		c.setWorks()
+		c.updateClasses()
 		c.settings.Logger.WithField("config-version", c.config.Version()).Info("configuration in force")
 	}
 	c.dirty = true
@@ -84,70 +84,70 @@
 func (c *Control) list() {
 	c.inbox.Call("list", func(ctx context.Context) message {
 		listing, err := c.settings.Instances.Listing(ctx)
-		return listed{listing: listing, err: err}
+		return listResult{listing: listing, err: err}
 	})
 }
 
-type listed struct {
+type listResult struct {
 	listing lovageyard.Listing
 	err     error
 }
 
-func (m listed) Apply(c *Control) {
+func (m listResult) Apply(c *Control) {
 	c.counter("platform.reads").Inc(1)
 	if m.err != nil {
-		c.settings.Logger.WithError(m.err).Debug("the platform's list could not be read")
+		c.settings.Logger.WithError(m.err).Debug("reading the platform's instance list failed")
 		return
 	}
 	c.setListing(m.listing, c.settings.Timer.Now())
 }
 
 func (c *Control) readBlocks() {
-	known := c.blocksVer
+	known := c.blocksVersion
 	c.inbox.Call("blocks", func(ctx context.Context) message {
 		object, err := c.settings.Objects.Get(ctx, block.ObjectName)
 		if errors.Is(err, lovageyard.ErrNotFound) || err == nil && object.Version == known {
 			return nil
 		}
 		if err != nil {
-			return blocksRead{err: err}
+			return blocksResult{err: err}
 		}
 		table, err := block.Decode(object.Body)
-		return blocksRead{table: table, zipped: peer.Zip(object.Body), version: object.Version, err: err}
+		return blocksResult{table: table, zipped: peer.Zip(object.Body), version: object.Version, err: err}
 	})
 }
 
-// blocksRead is a table of blocks that the platform or a peer has given.
-type blocksRead struct {
+// blocksResult is a block table read from the platform or received from a peer.
+type blocksResult struct {
 	table   *block.Table
 	zipped  []byte
 	version int64
 	err     error
 }
 
-func (m blocksRead) Apply(c *Control) {
+func (m blocksResult) Apply(c *Control) {
 	if m.err != nil {
-		c.settings.Logger.WithError(m.err).Debug("the table of blocks could not be read")
+		c.settings.Logger.WithError(m.err).Debug("reading the block table failed")
 		return
 	}
-	if m.version <= c.blocksVer {
+	if m.version <= c.blocksVersion {
 		return
 	}
 	c.blocks = m.table
-	c.blocksZip = m.zipped
-	c.blocksVer = m.version
+	c.compressedBlocks = m.zipped
+	c.blocksVersion = m.version
 	c.dirty = true
-	c.settings.Logger.WithField("blocks", m.table.Len()).Info("table of blocks in force")
+	c.settings.Logger.WithField("blocks", m.table.Len()).Info("block table updated")
 }
 
-// hearBlocks takes in the table of blocks that a peer passes on.
-func (c *Control) hearBlocks(zipped []byte, version int64) {
+// receiveBlocks decodes and applies a block table from a peer.
+func (c *Control) receiveBlocks(zipped []byte, version int64) {
 	c.inbox.Call("decode blocks", func(context.Context) message {
 		body, err := peer.Unzip(zipped)
 		if err != nil {
-			return blocksRead{err: err}
+			return blocksResult{err: err}
 		}
 		table, err := block.Decode(body)
-		return blocksRead{table: table, zipped: zipped, version: version, err: err}
+		return blocksResult{table: table, zipped: zipped, version: version, err: err}
 	})
 }
--- a/control/pools.go
+++ b/control/pools.go
@@ -16,26 +16,26 @@
 	site    string
 }
 
-// poolServer names one backend server of a pool.
+// poolServer identifies one backend server of a pool.
 type poolServer struct {
 	poolKey
 	server string
 }
 
-// pool is one service at one site.
+// pool is the state of one service at one site.
 type pool struct {
 	*server.Pool
 	failureDomain string
 	region        string
 	servers       []lovageyard.BackendServer
 	allowance     *grant.Allowance
-	answers       uint64
-	measured      time.Time
+	lastAnswers   uint64
+	measuredAt    time.Time
 	rate          float64
 }
 
-// setListing takes in the platform's list. A server that is on no list any more takes
-// no new work; an empty list of servers is taken for a fault and changes nothing.
+// setListing applies the platform's list. A server that is no longer listed gets no new
+// requests. An empty list of servers is assumed to be a fault and changes nothing.
 func (c *Control) setListing(l lovageyard.Listing, readAt time.Time) {
 	now := c.settings.Timer.Now()
 	c.members.List(l.EntryInstances, now)
@@ -62,7 +62,7 @@
 	c.dropMarks()
 }
 
-// dropMarks forgets the marks on servers that are on the list no more.
+// dropMarks deletes the marks of servers that are no longer listed.
 func (c *Control) dropMarks() {
 	for k := range c.marks {
 		p := c.pools[k.poolKey]
@@ -96,7 +96,7 @@
 	}
 }
 
-// setSharers tells the pools how many entry instances share their servers.
+// setSharers sets, for each pool, the number of entry instances that share its servers.
 func (c *Control) setSharers() {
 	inDomain := make(map[string]int)
 	for _, i := range c.members.Live() {
@@ -117,20 +117,21 @@
 	}
 }
 
-// ServerLeaving notes that a backend server said that it is leaving.
+// ServerLeaving records a backend server's notification that it is leaving, and passes it on
+// to the peers.
 func (c *Control) ServerLeaving(service, site, name string) {
-	c.inbox.Post(serverMarked{
+	c.inbox.Post(serverMark{
 		poolServer: poolServer{poolKey: poolKey{service: service, site: site}, server: name},
 		state:      lovageyard.StateLeaving,
 	})
 }
 
-type serverMarked struct {
+type serverMark struct {
 	poolServer
 	state lovageyard.InstanceState
 }
 
-func (m serverMarked) Apply(c *Control) {
+func (m serverMark) Apply(c *Control) {
 	if c.marks[m.poolServer] == m.state {
 		return
 	}
@@ -147,10 +148,10 @@
 	c.exchangeAll(c.settings.Timer.Now())
 }
 
-// probe asks the suspect and the leaving servers how they are: those of the own failure
-// domain often, as they are close, and others now and then.
+// probe probes the suspect and the leaving servers. Those of other failure domains are farther
+// away and are probed less often.
 func (c *Control) probe(now time.Time) {
-	elsewhere := c.every("probe elsewhere", probeElsewhereEvery, now)
+	elsewhere := c.isDue("probe elsewhere", remoteProbePeriod, now)
 	for k, p := range c.pools {
 		if p.failureDomain != c.self.FailureDomain && !elsewhere {
 			continue
@@ -167,17 +168,17 @@
 func (c *Control) probeServer(k poolKey, b lovageyard.BackendServer) {
 	c.inbox.Call("probe "+b.Name, func(ctx context.Context) message {
 		report, err := c.settings.Backend.Probe(ctx, b)
-		return probed{poolServer: poolServer{poolKey: k, server: b.Name}, report: report, err: err}
+		return probeResult{poolServer: poolServer{poolKey: k, server: b.Name}, report: report, err: err}
 	})
 }
 
-type probed struct {
+type probeResult struct {
 	poolServer
 	report lovageyard.LoadReport
 	err    error
 }
 
-func (m probed) Apply(c *Control) {
+func (m probeResult) Apply(c *Control) {
 	if m.err != nil {
 		return
 	}
@@ -185,11 +186,11 @@
 		p.Heard(m.server, m.report, c.settings.Timer.Now())
 	}
 	if !m.report.Leaving && c.marks[m.poolServer] == lovageyard.StateLeaving {
-		serverMarked{poolServer: m.poolServer, state: lovageyard.StateLive}.Apply(c)
+		serverMark{poolServer: m.poolServer, state: lovageyard.StateLive}.Apply(c)
 	}
 }
 
-// sortedPools returns the keys of the pools in a fixed order.
+// sortedPools returns the keys of the pools, sorted by service and site.
 func (c *Control) sortedPools() []poolKey {
 	keys := make([]poolKey, 0, len(c.pools))
 	for k := range c.pools {
@@ -204,7 +205,7 @@
 	return keys
 }
 
-// regionOf returns the region of a failure domain, or "".
+// regionOf returns the region of a failure domain, or "" if it is unknown.
 func (c *Control) regionOf(failureDomain string, members []lovageyard.EntryInstance) string {
 	for _, m := range members {
 		if m.FailureDomain == failureDomain {
--- a/control/publish.go
+++ b/control/publish.go
@@ -16,7 +16,7 @@
 	return metrics.GetOrRegisterCounter(name, c.settings.Metrics)
 }
 
-// publish builds the snapshot anew and puts it in force.
+// publish builds a new snapshot and makes it the current one.
 func (c *Control) publish() {
 	c.dirty = false
 	s := &route.Snapshot{
@@ -29,29 +29,29 @@
 		Directory: instance.NewDirectory(c.members.Live()),
 	}
 	for _, k := range c.index.All() {
-		w := c.works[k.Name]
-		if w == nil {
+		cs := c.classes[k.Name]
+		if cs == nil {
 			continue
 		}
-		s.Works = append(s.Works, c.routeWork(w))
+		s.Works = append(s.Works, c.routeWork(cs))
 	}
 	c.snapshot.Store(s)
 }
 
-func (c *Control) routeWork(w *work) route.Work {
+func (c *Control) routeWork(cs *classState) route.Work {
 	r := route.Work{
-		Class:  w.class,
-		Step:   w.plan.Step,
-		Gate:   w.stepper.Gate(),
-		Forced: w.forced,
-		Budget: w.budget,
-		Counts: w.counts,
+		Class:  cs.class,
+		Step:   cs.plan.Step,
+		Gate:   cs.stepper.Gate(),
+		Forced: cs.forced,
+		Budget: cs.budget,
+		Counts: cs.counts,
 	}
-	if w.stepper.Adopted() {
-		r.Homes = w.published()
+	if cs.stepper.Adopted() {
+		r.Homes = cs.appliedHomes()
 	}
 	for _, k := range c.sortedPools() {
-		if k.service != w.class.Service {
+		if k.service != cs.class.Service {
 			continue
 		}
 		p := c.pools[k]
@@ -63,26 +63,26 @@
 		})
 	}
 	slices.SortStableFunc(r.Sites, func(a, b route.Site) int {
-		return c.distance(keyOf(w, a)) - c.distance(keyOf(w, b))
+		return c.distance(keyOf(cs, a)) - c.distance(keyOf(cs, b))
 	})
 	return r
 }
 
-func keyOf(w *work, s route.Site) poolKey {
-	return poolKey{service: w.class.Service, site: s.Name}
+func keyOf(cs *classState, s route.Site) poolKey {
+	return poolKey{service: cs.class.Service, site: s.Name}
 }
 
-// published returns a copy of the applied placement that is made anew only when the
-// stepper has changed it.
-func (w *work) published() []move.Home {
-	if generation := w.stepper.Generation(); w.homes == nil || w.generation != generation {
-		w.homes = w.stepper.Applied().Homes
-		w.generation = generation
+// appliedHomes returns a copy of the applied placement. The copy is reused until the stepper
+// changes the placement.
+func (cs *classState) appliedHomes() []move.Home {
+	if generation := cs.stepper.Generation(); cs.homes == nil || cs.generation != generation {
+		cs.homes = cs.stepper.Applied().Homes
+		cs.generation = generation
 	}
-	return w.homes
+	return cs.homes
 }
 
-// distance ranks a pool: 0 in the own failure domain, 1 in the own region, else 2.
+// distance ranks a pool: 0 in this instance's failure domain, 1 in its region, 2 elsewhere.
 func (c *Control) distance(k poolKey) int {
 	p := c.pools[k]
 	switch {
@@ -94,7 +94,7 @@
 	return 2
 }
 
-// grants returns the grants of a service.
+// grants returns the grants of a service, or the zero GrantPlan if there are none.
 func (c *Control) grants(service string) lovageyard.GrantPlan {
 	var p lovageyard.GrantPlan
 	row, found := c.config.Row(lovageyard.TableGrants, service)
--- a/control/report.go
+++ b/control/report.go
@@ -11,41 +11,41 @@
 	"lovageyard.example/lovageyard/peer/wire"
 )
 
-// Rules for reports of demand.
+// Limits on the age of demand reports.
 const (
-	// reportFor is the age up to which a report counts.
-	reportFor = 15 * time.Second
-	// reportForget is the age at which a report is dropped.
-	reportForget = time.Minute
+	// reportMaxAge is the age up to which a report is used.
+	reportMaxAge = 15 * time.Second
+	// reportExpiry is the age at which a report is deleted.
+	reportExpiry = time.Minute
 )
 
-// report is the newest report of one instance or relay.
+// report is the latest demand report of one instance or relay, with its time of receipt.
 type report struct {
 	at     time.Time
 	report *wire.DemandReport
 }
 
-// sendReport sends this instance's measured demand to the relay of its failure domain,
-// or, as the relay, the demand of the whole failure domain to the planners.
+// sendReport sends this instance's measured demand to the relay of its failure domain. The
+// relay itself sends the demand of the whole failure domain to the planners.
 func (c *Control) sendReport(now time.Time) {
 	own := c.ownReport(now)
 	relays := c.relays()
 	if len(relays) > 0 && relays[0] != c.self.Name {
-		c.report(c.peerAddress(relays[0]), own)
+		c.postReport(c.peerAddress(relays[0]), own)
 		return
 	}
-	c.keepReport(own, now)
+	c.storeReport(own, now)
 	merged := c.mergeReports(now)
-	c.keepReport(merged, now)
-	for name, services := range c.plannersByName() {
+	c.storeReport(merged, now)
+	for name, services := range c.servicesByPlanner() {
 		if name != c.self.Name {
-			c.report(c.peerAddress(name), forServices(merged, services, c.index))
+			c.postReport(c.peerAddress(name), filterServices(merged, services, c.index))
 		}
 	}
 }
 
-// plannersByName returns the services that each candidate may plan.
-func (c *Control) plannersByName() map[string][]string {
+// servicesByPlanner returns, for each planner candidate, the services that it may plan.
+func (c *Control) servicesByPlanner() map[string][]string {
 	byName := make(map[string][]string)
 	for _, service := range c.services() {
 		for _, name := range c.candidatesFor(service) {
@@ -55,8 +55,8 @@
 	return byName
 }
 
-// forServices returns the part of a merged report that concerns some services.
-func forServices(merged *wire.DemandReport, services []string, index *class.Index) *wire.DemandReport {
+// filterServices returns the part of a merged report that concerns the given services.
+func filterServices(merged *wire.DemandReport, services []string, index *class.Index) *wire.DemandReport {
 	part := &wire.DemandReport{FailureDomain: merged.GetFailureDomain(), Reporter: merged.GetReporter(), Merged: true}
 	concerns := func(name string) bool {
 		k := index.Named(name)
@@ -80,13 +80,13 @@
 	return part
 }
 
-func (c *Control) report(address string, r *wire.DemandReport) {
+func (c *Control) postReport(address string, r *wire.DemandReport) {
 	if address == "" {
 		return
 	}
 	c.inbox.Call("report "+address, func(ctx context.Context) message {
 		if err := c.settings.Peers.Report(ctx, address, r); err != nil {
-			c.settings.Logger.WithError(err).Debug("report failed")
+			c.settings.Logger.WithError(err).Debug("sending a demand report failed")
 		}
 		return nil
 	})
@@ -100,19 +100,19 @@
 func (c *Control) ownReport(now time.Time) *wire.DemandReport {
 	r := &wire.DemandReport{FailureDomain: c.self.FailureDomain, Reporter: c.self.Name}
 	for _, k := range c.index.All() {
-		if w := c.works[k.Name]; w != nil {
-			r.Classes = append(r.Classes, w.report())
+		if cs := c.classes[k.Name]; cs != nil {
+			r.Classes = append(r.Classes, cs.demandReport())
 		}
 	}
 	for _, k := range c.sortedPools() {
-		r.Sites = append(r.Sites, c.pools[k].report(k, now))
+		r.Sites = append(r.Sites, c.pools[k].siteReport(k, now))
 	}
 	return r
 }
 
-func (w *work) report() *wire.ClassDemand {
-	d := &wire.ClassDemand{Class: w.class.Name}
-	for _, r := range w.rates {
+func (cs *classState) demandReport() *wire.ClassDemand {
+	d := &wire.ClassDemand{Class: cs.class.Name}
+	for _, r := range cs.rates {
 		home := &wire.HomeDemand{FailureDomain: r.failureDomain, Buckets: peer.FromRates(r.rates[:])}
 		if slices.ContainsFunc(home.GetBuckets(), func(b byte) bool { return b > 0 }) {
 			d.Homes = append(d.Homes, home)
@@ -121,15 +121,15 @@
 	return d
 }
 
-// report tells what this instance knows of a pool.
-func (p *pool) report(k poolKey, now time.Time) *wire.SiteReport {
+// siteReport returns this instance's measurements of a pool since the previous report.
+func (p *pool) siteReport(k poolKey, now time.Time) *wire.SiteReport {
 	census := p.Census(now)
-	passed := now.Sub(p.measured).Seconds()
+	passed := now.Sub(p.measuredAt).Seconds()
 	if passed > 0 {
-		p.rate = float64(census.Answers-p.answers) / passed
+		p.rate = float64(census.Answers-p.lastAnswers) / passed
 	}
-	p.answers = census.Answers
-	p.measured = now
+	p.lastAnswers = census.Answers
+	p.measuredAt = now
 	return &wire.SiteReport{
 		Service:     k.service,
 		Site:        k.site,
@@ -139,17 +139,17 @@
 	}
 }
 
-// mergeReports returns the sum of the reports of this failure domain.
+// mergeReports returns the sum of the current reports of this failure domain.
 func (c *Control) mergeReports(now time.Time) *wire.DemandReport {
 	merged := &wire.DemandReport{FailureDomain: c.self.FailureDomain, Reporter: c.self.Name + "/merged", Merged: true}
 	classes := make(map[string]*demandSum)
 	var order []string
 	sites := make(map[poolKey]*wire.SiteReport)
 	for name, r := range c.reports {
-		if now.Sub(r.at) > reportForget {
+		if now.Sub(r.at) > reportExpiry {
 			delete(c.reports, name)
 		}
-		if r.report.GetMerged() || now.Sub(r.at) > reportFor {
+		if r.report.GetMerged() || now.Sub(r.at) > reportMaxAge {
 			continue
 		}
 		for _, d := range r.report.GetClasses() {
@@ -187,7 +187,7 @@
 	sum.MeanSeconds = max(sum.GetMeanSeconds(), s.GetMeanSeconds())
 }
 
-// demandSum adds up the demand of one class.
+// demandSum accumulates the demand for one class.
 type demandSum struct {
 	homes map[string]*[lovageyard.Buckets]float64
 }
@@ -219,22 +219,22 @@
 	return d
 }
 
-// Report takes in a report of a peer.
+// Report stores a peer's demand report, replacing the reporter's previous one.
 func (c *Control) Report(_ context.Context, r *wire.DemandReport) (*wire.ReportReply, error) {
-	if !c.inbox.Post(reported{report: r}) {
+	if !c.inbox.Post(reportMessage{report: r}) {
 		return nil, context.Canceled
 	}
 	return &wire.ReportReply{}, nil
 }
 
-type reported struct {
+type reportMessage struct {
 	report *wire.DemandReport
 }
 
-func (m reported) Apply(c *Control) {
-	c.keepReport(m.report, c.settings.Timer.Now())
+func (m reportMessage) Apply(c *Control) {
+	c.storeReport(m.report, c.settings.Timer.Now())
 }
 
-func (c *Control) keepReport(r *wire.DemandReport, now time.Time) {
+func (c *Control) storeReport(r *wire.DemandReport, now time.Time) {
 	c.reports[r.GetReporter()] = &report{at: now, report: r}
 }
--- a/control/status.go
+++ b/control/status.go
@@ -10,28 +10,28 @@
 	"lovageyard.example/lovageyard/operator"
 )
 
-// Status tells what this instance knows and applies.
+// Status returns the state of this instance for the operators' interface.
 func (c *Control) Status(ctx context.Context) (operator.Status, error) {
-	return ask(ctx, c, func() operator.Status { return c.status() })
+	return runQuery(ctx, c, func() operator.Status { return c.status() })
 }
 
-// Explain tells where a request of a client goes now, and why.
+// Explain returns the site that a client's request would currently be routed to, and the reason.
 func (c *Control) Explain(ctx context.Context, class string, client netip.Addr) (operator.Explanation, error) {
-	return ask(ctx, c, func() operator.Explanation { return c.explain(class, client) })
+	return runQuery(ctx, c, func() operator.Explanation { return c.explain(class, client) })
 }
 
-// question is a query that the loop answers.
-type question[T any] struct {
+// query is a function that the loop calls, with a channel for its result.
+type query[T any] struct {
 	answer func() T
 	reply  chan T
 }
 
-func (q question[T]) Apply(*Control) {
+func (q query[T]) Apply(*Control) {
 	q.reply <- q.answer()
 }
 
-func ask[T any](ctx context.Context, c *Control, answer func() T) (T, error) {
-	q := question[T]{answer: answer, reply: make(chan T, 1)}
+func runQuery[T any](ctx context.Context, c *Control, answer func() T) (T, error) {
+	q := query[T]{answer: answer, reply: make(chan T, 1)}
 	var none T
 	if !c.inbox.Post(q) {
 		return none, context.Canceled
@@ -68,8 +68,8 @@
 	for _, k := range c.index.All() {
 		row, _ := c.config.Row(lovageyard.TableClasses, k.Name)
 		s.Classes = append(s.Classes, operator.VersionedClass{Version: row.Version, Class: k})
-		if w := c.works[k.Name]; w != nil {
-			s.Moves = append(s.Moves, c.moveStatus(w))
+		if cs := c.classes[k.Name]; cs != nil {
+			s.Moves = append(s.Moves, c.moveStatus(cs))
 		}
 	}
 	for _, k := range c.sortedPools() {
@@ -88,7 +88,7 @@
 	return s
 }
 
-// plannerStatus tells who plans each service, as far as this instance has seen.
+// plannerStatus returns the lease holder of each service that this instance has tried to plan.
 func (c *Control) plannerStatus() []operator.PlannerStatus {
 	var list []operator.PlannerStatus
 	for service, p := range c.planners {
@@ -98,18 +98,18 @@
 	return list
 }
 
-func (c *Control) moveStatus(w *work) operator.MoveStatus {
-	settled, remaining := w.stepper.Settled(w.demand())
+func (c *Control) moveStatus(cs *classState) operator.MoveStatus {
+	settled, remaining := cs.stepper.Settled(cs.demand())
 	m := operator.MoveStatus{
-		Class:          w.class.Name,
-		Step:           w.plan.Step,
+		Class:          cs.class.Name,
+		Step:           cs.plan.Step,
 		LocalStep:      settled,
 		LocalRemaining: remaining,
 	}
-	m.ReachedStep, m.Move.Remaining = c.reached(w.class.Name)
-	if w.plan.Move != nil {
+	m.ReachedStep, m.Move.Remaining = c.reachedStep(cs.class.Name)
+	if cs.plan.Move != nil {
 		remaining := m.Move.Remaining
-		m.Move = *w.plan.Move
+		m.Move = *cs.plan.Move
 		m.Move.Remaining = remaining
 	}
 	return m
@@ -125,19 +125,19 @@
 		Home:   home,
 		Bucket: place.Bucket,
 	}
-	w := c.works[class]
-	if w == nil {
+	cs := c.classes[class]
+	if cs == nil {
 		e.Reason = "no class of that name"
 		return e
 	}
-	e.PlanStep = w.plan.Step
-	e.PlannedSite = w.plan.SiteOf(home, place.Bucket)
+	e.PlanStep = cs.plan.Step
+	e.PlannedSite = cs.plan.SiteOf(home, place.Bucket)
 	e.Reason = "placement in force here"
-	if !w.stepper.Adopted() {
+	if !cs.stepper.Adopted() {
 		e.Reason = "no placement is in force here yet; requests go to the own failure domain"
 		return e
 	}
-	applied := w.stepper.Applied()
+	applied := cs.stepper.Applied()
 	cells := applied.Find(home)
 	if cells == nil {
 		e.Reason = "the plan does not know the home failure domain; requests go to the own one"
@@ -148,8 +148,8 @@
 	e.MovingTo = cell.Next
 	e.Moved = cell.Settled
 	e.Moving = cell.Moving
-	if w.plan.Move != nil {
-		e.Move = w.plan.Move.Reason
+	if cs.plan.Move != nil {
+		e.Move = cs.plan.Move.Reason
 	}
 	return e
 }
--- a/control/view.go
+++ b/control/view.go
@@ -9,17 +9,17 @@
 	"lovageyard.example/lovageyard/placement"
 )
 
-// view is what the planner knows of demand and sites.
+// view aggregates the reports on demand and sites for a planning round.
 type view struct {
-	control *Control
-	now     time.Time
-	demand  map[string]*demandSum
-	seen    map[poolKey][]siteSeen
-	domains []string
+	control      *Control
+	now          time.Time
+	demand       map[string]*demandSum
+	observations map[poolKey][]siteObservation
+	domains      []string
 }
 
-// siteSeen is one failure domain's word on one service of a site.
-type siteSeen struct {
+// siteObservation is one failure domain's report on one service of a site.
+type siteObservation struct {
 	failureDomain string
 	at            time.Time
 	report        *wire.SiteReport
@@ -27,22 +27,22 @@
 
 func (c *Control) view(now time.Time) *view {
 	v := &view{
-		control: c,
-		now:     now,
-		demand:  make(map[string]*demandSum),
-		seen:    make(map[poolKey][]siteSeen),
+		control:      c,
+		now:          now,
+		demand:       make(map[string]*demandSum),
+		observations: make(map[poolKey][]siteObservation),
 	}
 	for _, r := range c.reports {
 		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAfter {
 			continue
 		}
-		v.add(r)
+		v.addReport(r)
 	}
 	v.domains = c.failureDomains()
 	return v
 }
 
-func (v *view) add(r *report) {
+func (v *view) addReport(r *report) {
 	for _, d := range r.report.GetClasses() {
 		if v.demand[d.GetClass()] == nil {
 			v.demand[d.GetClass()] = newDemandSum()
@@ -51,11 +51,11 @@
 	}
 	for _, s := range r.report.GetSites() {
 		k := poolKey{service: s.GetService(), site: s.GetSite()}
-		v.seen[k] = append(v.seen[k], siteSeen{failureDomain: r.report.GetFailureDomain(), at: r.at, report: s})
+		v.observations[k] = append(v.observations[k], siteObservation{failureDomain: r.report.GetFailureDomain(), at: r.at, report: s})
 	}
 }
 
-// failureDomains returns all failure domains that have instances or servers.
+// failureDomains returns the failure domains that have instances or servers, sorted.
 func (c *Control) failureDomains() []string {
 	var names []string
 	for _, m := range c.members.Live() {
@@ -82,10 +82,10 @@
 	return homes
 }
 
-// sites returns what is known of a class's service at each site.
+// sites returns the known state of a class's service at each site.
 func (v *view) sites(k lovageyard.Class) []placement.Site {
 	var sites []placement.Site
-	typical := v.typicalService(k.Service)
+	typical := v.meanServiceTime(k.Service)
 	for _, key := range v.control.sortedPools() {
 		if key.service != k.Service {
 			continue
@@ -96,10 +96,10 @@
 			FailureDomain: p.failureDomain,
 			Region:        p.region,
 			Alive:         v.alive(key, p),
-			Age:           v.age(key),
+			Age:           v.reportAge(key),
 			OtherLoad:     v.otherLoad(k, key.site),
 		}
-		if service := v.service(key, typical); service > 0 {
+		if service := v.serviceTime(key, typical); service > 0 {
 			s.Capacity = float64(v.slots(key, p)) / service
 		}
 		sites = append(sites, s)
@@ -107,7 +107,7 @@
 	return sites
 }
 
-// slots counts the slots of a pool's servers that are live and not marked as leaving.
+// slots returns the number of slots of a pool's servers that are live and not marked as leaving.
 func (v *view) slots(k poolKey, p *pool) int {
 	slots := 0
 	for _, b := range p.servers {
@@ -119,10 +119,11 @@
 	return slots
 }
 
-// service returns the time in seconds that a pool's servers spend on a request.
-func (v *view) service(k poolKey, typical float64) float64 {
+// serviceTime returns a pool's service time of a request in seconds: the longest reported mean,
+// or typical if there is none.
+func (v *view) serviceTime(k poolKey, typical float64) float64 {
 	slowest := 0.0
-	for _, s := range v.seen[k] {
+	for _, s := range v.observations[k] {
 		slowest = max(slowest, s.report.GetMeanSeconds())
 	}
 	if slowest == 0 {
@@ -131,9 +132,9 @@
 	return slowest
 }
 
-func (v *view) typicalService(service string) float64 {
+func (v *view) meanServiceTime(service string) float64 {
 	sum, count := 0.0, 0.0
-	for k, seen := range v.seen {
+	for k, seen := range v.observations {
 		if k.service != service {
 			continue
 		}
@@ -150,11 +151,12 @@
 	return sum / count
 }
 
-// alive believes the site's own failure domain first, and else the majority.
+// alive reports whether a pool is considered alive: by the report of the site's own failure
+// domain if there is a recent one, otherwise by a majority of the recent reports.
 func (v *view) alive(k poolKey, p *pool) bool {
 	votes := 0
-	for _, s := range v.seen[k] {
-		if v.now.Sub(s.at) > reportFor {
+	for _, s := range v.observations[k] {
+		if v.now.Sub(s.at) > reportMaxAge {
 			continue
 		}
 		if s.failureDomain == p.failureDomain {
@@ -169,36 +171,36 @@
 	return votes >= 0 && len(p.servers) > 0
 }
 
-func (v *view) age(k poolKey) time.Duration {
+func (v *view) reportAge(k poolKey) time.Duration {
 	age := placement.StaleAfter
-	for _, s := range v.seen[k] {
+	for _, s := range v.observations[k] {
 		age = min(age, v.now.Sub(s.at))
 	}
 	return age
 }
 
-// otherLoad returns the load that the other classes of the same service put on a site.
+// otherLoad returns the planned load of the service's other classes at a site.
 func (v *view) otherLoad(k lovageyard.Class, site string) float64 {
 	load := 0.0
 	for _, other := range v.control.index.All() {
 		if other.Service == k.Service && other.Name != k.Name {
-			load += v.planned(other.Name, site)
+			load += v.plannedLoad(other.Name, site)
 		}
 	}
 	return load
 }
 
-// planned returns the demand of a class that its plan gives to a site.
-func (v *view) planned(class, site string) float64 {
-	w := v.control.works[class]
+// plannedLoad returns the demand for a class that its plan assigns to a site.
+func (v *view) plannedLoad(class, site string) float64 {
+	cs := v.control.classes[class]
 	sum := v.demand[class]
-	if w == nil || sum == nil {
+	if cs == nil || sum == nil {
 		return 0
 	}
 	load := 0.0
 	for home, buckets := range sum.homes {
 		for b, rate := range buckets {
-			if w.plan.SiteOf(home, b) == site {
+			if cs.plan.SiteOf(home, b) == site {
 				load += rate
 			}
 		}
