--- a/control/control.go
+++ b/control/control.go
@@ -140,7 +140,7 @@
 func (c *Control) Start() {
 	ticks := c.settings.Timer.Subscribe(tickPeriod)
 	steps := c.settings.Timer.Subscribe(stepPeriod)
-	c.inbox.Own(func() { c.run(ticks, steps) })
+	c.inbox.Start(func() { c.run(ticks, steps) })
 }
 
 // Close stops the loop and waits for it and for all calls that it started.
@@ -189,7 +189,7 @@
 	c.self.Heartbeat++
 	c.self.Version = c.config.Version()
 	c.self.Steps = c.ownSteps()
-	c.members.Hear(c.self, now)
+	c.members.Observe(c.self, now)
 	if c.members.Tick(now) {
 		c.dirty = true
 	}
@@ -238,7 +238,7 @@
 	c.self.State = lovageyard.StateLeaving
 	c.self.Heartbeat++
 	now := c.settings.Timer.Now()
-	c.members.Hear(c.self, now)
+	c.members.Observe(c.self, now)
 	c.dirty = true
 	c.exchangeAll(now)
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -170,7 +170,7 @@
 		Logger: logger, Metrics: metrics.NewRegistry(), KeepFor: time.Second, Headroom: 0.2,
 		SeedPeers:     []string{"a1-1", "a1-2"},
 		Pool:          server.Settings{Mode: server.Shared, QueuePerSlot: 1},
-		Latencies:     placement.Latencies{SameRegion: time.Millisecond, Else: 10 * time.Millisecond},
+		Latencies:     placement.Latencies{SameRegion: time.Millisecond, OtherRegion: 10 * time.Millisecond},
 		LeaseDuration: 6 * time.Second, Seed: uint64(incarnation),
 	})
 	cl.mu.Lock()
@@ -449,8 +449,8 @@
 	cl.putClass("lookups", 0.5)
 	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
 	for _, name := range allInstances {
-		cl.controls[name].Snapshot().Work("lookups").Sites[2].Pool.Suspect("b1-desk")
-		cl.controls[name].Snapshot().Work("lookups").Sites[0].Pool.Suspect(name[:2] + "-desk")
+		cl.controls[name].Snapshot().ClassRoute("lookups").Sites[2].Pool.MarkUnreachable("b1-desk")
+		cl.controls[name].Snapshot().ClassRoute("lookups").Sites[0].Pool.MarkUnreachable(name[:2] + "-desk")
 	}
 	cl.waitFor("probes clear the suspect state", func() bool {
 		for _, name := range allInstances {
@@ -472,14 +472,14 @@
 	cl.putClass("lookups", 0.5)
 	cl.waitFor("placement", func() bool { return cl.placed("lookups", allInstances...) })
 	c := cl.controls["a1-1"]
-	place, home := c.Snapshot().Place(netip.MustParseAddr("192.0.2.1"))
+	place, home := c.Snapshot().Locate(netip.MustParseAddr("192.0.2.1"))
 	const rounds, perRound = 150, 20
 	forced := 0
 	for n := range rounds {
-		work := c.Snapshot().Work("lookups")
+		work := c.Snapshot().ClassRoute("lookups")
 		for range perRound {
-			work.Count(place, home)
-			if n >= rounds/2 && work.Gate.TakeForced() {
+			work.CountRequest(place, home)
+			if n >= rounds/2 && work.Limiter.AllowFailover() {
 				forced++
 			}
 		}
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -20,9 +20,9 @@
 	maxMembers = 16
 )
 
-// exchange starts the exchanges that are due: with the relays and one random neighbor, with a
+// exchange starts the exchanges that are due: with the relays and one random neighbour, with a
 // relay of another failure domain if this instance is a relay, and with the seed peers while
-// no configuration or no neighbor is known.
+// no configuration or no neighbour is known.
 func (c *Control) exchange(now time.Time) {
 	if !c.isDue("exchange", exchangePeriod, now) {
 		return
@@ -32,12 +32,12 @@
 	}
 }
 
-// exchangeAll starts an exchange with every neighbor and a few relays of other failure domains.
+// exchangeAll starts an exchange with every neighbour and a few relays of other failure domains.
 func (c *Control) exchangeAll(time.Time) {
 	for _, m := range c.members.Neighbours() {
 		c.exchangeWith(m.PeerAddress)
 	}
-	for range instance.Relays {
+	for range instance.RelaysPerDomain {
 		c.exchangeWith(c.remoteRelay())
 	}
 }
@@ -101,7 +101,7 @@
 
 func (c *Control) wantsApplied() bool {
 	for _, cs := range c.classes {
-		if !cs.stepper.Adopted() {
+		if !cs.stepper.Initialized() {
 			return true
 		}
 	}
@@ -148,8 +148,8 @@
 		c.receiveChanges(m.reply.GetChanges())
 	}
 	for _, a := range m.reply.GetApplied() {
-		if cs := c.classes[a.GetClass()]; cs != nil && !cs.stepper.Adopted() {
-			cs.stepper.Adopt(peer.ToApplied(a), now)
+		if cs := c.classes[a.GetClass()]; cs != nil && !cs.stepper.Initialized() {
+			cs.stepper.Initialize(peer.ToPlacement(a), now)
 			c.dirty = true
 		}
 	}
@@ -208,7 +208,7 @@
 	if m.Name == "" || m.Name == c.self.Name {
 		return
 	}
-	if c.members.Hear(m, now) && m.State != lovageyard.StateLive {
+	if c.members.Observe(m, now) && m.State != lovageyard.StateLive {
 		c.dirty = true
 	}
 }
@@ -262,13 +262,13 @@
 func (c *Control) wireApplied() []*wire.Applied {
 	var out []*wire.Applied
 	for name, cs := range c.classes {
-		if cs.stepper.Adopted() {
-			out = append(out, peer.FromApplied(name, appliedPlacement(cs)))
+		if cs.stepper.Initialized() {
+			out = append(out, peer.FromPlacement(name, appliedPlacement(cs)))
 		}
 	}
 	return out
 }
 
-func appliedPlacement(cs *classState) move.Applied {
+func appliedPlacement(cs *classState) move.Placement {
 	return cs.stepper.Applied()
 }
--- a/control/planner.go
+++ b/control/planner.go
@@ -42,7 +42,7 @@
 			names = append(names, relays[0])
 		}
 	}
-	return instance.Choose(names, service, plannerCandidates)
+	return instance.Rendezvous(names, service, plannerCandidates)
 }
 
 // services returns the services of all classes, sorted and without duplicates.
@@ -195,16 +195,16 @@
 		inputs = append(inputs, plannerInput{
 			version: row.Version,
 			Input: placement.Input{
-				Now:       view.now,
-				Class:     k,
-				Orders:    c.config.Orders(),
-				Sites:     view.sites(k),
-				Homes:     view.homes(k.Name),
-				Latencies: c.settings.Latencies,
-				Headroom:  c.settings.Headroom,
-				Current:   cs.plan,
-				Reached:   reached,
-				Left:      left,
+				Now:         view.now,
+				Class:       k,
+				Orders:      c.config.Orders(),
+				Sites:       view.sites(k),
+				Homes:       view.homes(k.Name),
+				Latencies:   c.settings.Latencies,
+				Headroom:    c.settings.Headroom,
+				Current:     cs.plan,
+				AppliedStep: reached,
+				Remaining:   left,
 			},
 		})
 	}
@@ -217,7 +217,7 @@
 	step = math.MaxInt64
 	now := c.settings.Timer.Now()
 	for _, r := range c.reports {
-		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAfter {
+		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAge {
 			continue
 		}
 		for _, s := range r.report.GetSettled() {
@@ -243,17 +243,17 @@
 		if cs == nil || cs.plan.Step == 0 {
 			continue
 		}
-		sum := instance.Step{Class: k.Name, Settled: cs.plan.Step}
+		sum := instance.Step{Class: k.Name, Completed: cs.plan.Step}
 		version := c.planVersion(k.Name)
 		for _, m := range members {
 			s, found := reportedStep(m, k.Name)
 			if !found && m.Version < version {
-				s.Settled = cs.plan.Step - 1
+				s.Completed = cs.plan.Step - 1
 				found = true
 			}
 			if found {
-				sum.Settled = min(sum.Settled, s.Settled)
-				sum.Left = max(sum.Left, s.Left)
+				sum.Completed = min(sum.Completed, s.Completed)
+				sum.Remaining = max(sum.Remaining, s.Remaining)
 			}
 		}
 		steps = append(steps, sum)
--- a/control/platform.go
+++ b/control/platform.go
@@ -113,7 +113,7 @@
 			return blocksResult{err: err}
 		}
 		table, err := block.Decode(object.Body)
-		return blocksResult{table: table, zipped: peer.Zip(object.Body), version: object.Version, err: err}
+		return blocksResult{table: table, zipped: peer.Compress(object.Body), version: object.Version, err: err}
 	})
 }
 
@@ -143,7 +143,7 @@
 // receiveBlocks decodes and applies a block table from a peer.
 func (c *Control) receiveBlocks(zipped []byte, version int64) {
 	c.inbox.Call("decode blocks", func(context.Context) message {
-		body, err := peer.Unzip(zipped)
+		body, err := peer.Decompress(zipped)
 		if err != nil {
 			return blocksResult{err: err}
 		}
--- a/control/publish.go
+++ b/control/publish.go
@@ -33,21 +33,21 @@
 		if cs == nil {
 			continue
 		}
-		s.Works = append(s.Works, c.routeWork(cs))
+		s.ClassRoutes = append(s.ClassRoutes, c.classRoute(cs))
 	}
 	c.snapshot.Store(s)
 }
 
-func (c *Control) routeWork(cs *classState) route.Work {
-	r := route.Work{
-		Class:  cs.class,
-		Step:   cs.plan.Step,
-		Gate:   cs.stepper.Gate(),
-		Forced: cs.forced,
-		Budget: cs.budget,
-		Counts: cs.counts,
+func (c *Control) classRoute(cs *classState) route.ClassRoute {
+	r := route.ClassRoute{
+		Class:           cs.class,
+		Step:            cs.plan.Step,
+		Limiter:         cs.stepper.Limiter(),
+		FailoverLimiter: cs.forced,
+		Budget:          cs.budget,
+		HomeCounts:      cs.counts,
 	}
-	if cs.stepper.Adopted() {
+	if cs.stepper.Initialized() {
 		r.Homes = cs.appliedHomes()
 	}
 	for _, k := range c.sortedPools() {
--- a/control/status.go
+++ b/control/status.go
@@ -62,7 +62,7 @@
 	if !c.listedAt.IsZero() {
 		s.ListAgeMs = now.Sub(c.listedAt).Milliseconds()
 	}
-	for _, m := range c.members.Known() {
+	for _, m := range c.members.Members() {
 		s.Instances = append(s.Instances, operator.InstanceStatus{EntryInstance: m.EntryInstance, Version: m.Version})
 	}
 	for _, k := range c.index.All() {
@@ -73,12 +73,12 @@
 		}
 	}
 	for _, k := range c.sortedPools() {
-		census := c.pools[k].Census(now)
+		census := c.pools[k].Stats(now)
 		s.Pools = append(s.Pools, operator.PoolStatus{
 			Service:   k.service,
 			Site:      k.site,
 			Servers:   census.Servers,
-			Available: census.Takers,
+			Available: census.Available,
 			Slots:     census.Slots,
 			InFlight:  census.InFlight,
 			Queued:    census.Queued,
@@ -99,7 +99,7 @@
 }
 
 func (c *Control) moveStatus(cs *classState) operator.MoveStatus {
-	settled, remaining := cs.stepper.Settled(cs.demand())
+	settled, remaining := cs.stepper.Progress(cs.demand())
 	m := operator.MoveStatus{
 		Class:          cs.class.Name,
 		Step:           cs.plan.Step,
@@ -117,7 +117,7 @@
 
 func (c *Control) explain(class string, client netip.Addr) operator.Explanation {
 	snapshot := c.Snapshot()
-	place, home := snapshot.Place(client)
+	place, home := snapshot.Locate(client)
 	e := operator.Explanation{
 		Class:  class,
 		Client: client.String(),
@@ -133,7 +133,7 @@
 	e.PlanStep = cs.plan.Step
 	e.PlannedSite = cs.plan.SiteOf(home, place.Bucket)
 	e.Reason = "placement in force here"
-	if !cs.stepper.Adopted() {
+	if !cs.stepper.Initialized() {
 		e.Reason = "no placement is in force here yet; requests go to the own failure domain"
 		return e
 	}
@@ -145,8 +145,8 @@
 	}
 	cell := cells[place.Bucket]
 	e.Site = cell.Site
-	e.MovingTo = cell.Next
-	e.Moved = cell.Settled
+	e.MovingTo = cell.Target
+	e.Moved = cell.Shifted
 	e.Moving = cell.Moving
 	if cs.plan.Move != nil {
 		e.Move = cs.plan.Move.Reason
--- a/control/view.go
+++ b/control/view.go
@@ -33,7 +33,7 @@
 		observations: make(map[poolKey][]siteObservation),
 	}
 	for _, r := range c.reports {
-		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAfter {
+		if !r.report.GetMerged() || now.Sub(r.at) > placement.StaleAge {
 			continue
 		}
 		v.addReport(r)
@@ -172,7 +172,7 @@
 }
 
 func (v *view) reportAge(k poolKey) time.Duration {
-	age := placement.StaleAfter
+	age := placement.StaleAge
 	for _, s := range v.observations[k] {
 		age = min(age, v.now.Sub(s.at))
 	}
--- a/control/works.go
+++ b/control/works.go
@@ -22,9 +22,9 @@
 	plan       lovageyard.ClassPlan
 	planSeenAt time.Time
 	stepper    *move.Stepper
-	forced     *move.Gate
-	budget     *server.Budget
-	counts     []*route.HomeCount
+	forced     *move.Limiter
+	budget     *server.RetryBudget
+	counts     []*route.HomeCounter
 	rates      []*homeRate
 	measuredAt time.Time
 	// settledStep is the plan step, and settledHomes the number of its homes, last found to be
@@ -51,7 +51,7 @@
 		c.updateClass(k)
 	}
 	for name := range c.classes {
-		if c.index.Named(name) == nil {
+		if c.index.ByName(name) == nil {
 			delete(c.classes, name)
 		}
 	}
@@ -75,7 +75,7 @@
 	if cs == nil {
 		cs = &classState{
 			stepper:    move.NewStepper(k.Target),
-			budget:     server.NewBudget(),
+			budget:     server.NewRetryBudget(),
 			measuredAt: c.settings.Timer.Now(),
 		}
 		cs.addHome(c.self.FailureDomain)
@@ -86,9 +86,9 @@
 	extra := k.Target.EffectiveFailoverCap() - k.Target.Cap
 	switch {
 	case extra <= 0:
-		cs.forced = cs.stepper.Gate()
-	case cs.forced == nil || cs.forced == cs.stepper.Gate():
-		cs.forced = move.NewGate(extra, 0)
+		cs.forced = cs.stepper.Limiter()
+	case cs.forced == nil || cs.forced == cs.stepper.Limiter():
+		cs.forced = move.NewLimiter(extra, 0)
 	}
 }
 
@@ -99,13 +99,13 @@
 }
 
 func (cs *classState) addHome(failureDomain string) {
-	known := slices.ContainsFunc(cs.counts, func(c *route.HomeCount) bool {
+	known := slices.ContainsFunc(cs.counts, func(c *route.HomeCounter) bool {
 		return c.FailureDomain == failureDomain
 	})
 	if known {
 		return
 	}
-	cs.counts = append(slices.Clone(cs.counts), &route.HomeCount{FailureDomain: failureDomain})
+	cs.counts = append(slices.Clone(cs.counts), &route.HomeCounter{FailureDomain: failureDomain})
 	cs.rates = append(cs.rates, &homeRate{failureDomain: failureDomain})
 }
 
@@ -132,9 +132,9 @@
 func (cs *classState) setGates() {
 	target := cs.class.Target
 	total := cs.demand().Total
-	cs.stepper.Gate().Set(target.Cap, total)
-	if cs.forced != cs.stepper.Gate() {
-		cs.forced.Set(target.EffectiveFailoverCap()-target.Cap, total)
+	cs.stepper.Limiter().SetCap(target.Cap, total)
+	if cs.forced != cs.stepper.Limiter() {
+		cs.forced.SetCap(target.EffectiveFailoverCap()-target.Cap, total)
 	}
 }
 
@@ -174,7 +174,7 @@
 func (c *Control) stepClasses(now time.Time) {
 	var neighbours []instance.Member
 	for name, cs := range c.classes {
-		if cs.plan.Step == 0 || cs.stepper.Adopted() && cs.idle(now) {
+		if cs.plan.Step == 0 || cs.stepper.Initialized() && cs.idle(now) {
 			continue
 		}
 		if neighbours == nil {
@@ -198,7 +198,7 @@
 	if cs.settledStep == cs.plan.Step && cs.settledHomes == len(cs.plan.Homes) {
 		return true
 	}
-	if settled, _ := cs.stepper.Settled(move.Demand{}); settled == cs.plan.Step && cs.stepper.Resting() {
+	if settled, _ := cs.stepper.Progress(move.Demand{}); settled == cs.plan.Step && cs.stepper.Idle() {
 		cs.settledStep = cs.plan.Step
 		cs.settledHomes = len(cs.plan.Homes)
 	}
@@ -207,7 +207,7 @@
 
 // recordStep records a step of a move as a decision.
 func (c *Control) recordStep(cs *classState, d move.Demand) {
-	step, left := cs.stepper.Settled(d)
+	step, left := cs.stepper.Progress(d)
 	c.settings.Recorder.Record(lovageyard.Decision{
 		Kind:     "move",
 		Class:    cs.class.Name,
@@ -217,34 +217,34 @@
 	})
 }
 
-// adopt sets a class's first placement from the plan when no neighbor has reported what is
+// adopt sets a class's first placement from the plan when no neighbour has reported what is
 // applied: at the plan's first step, or after a timeout.
 func (c *Control) adopt(cs *classState, neighbours []instance.Member, now time.Time) {
-	if cs.stepper.Adopted() {
+	if cs.stepper.Initialized() {
 		return
 	}
 	alone := len(neighbours) == 0 && now.Sub(cs.planSeenAt) >= adoptTimeout/3
 	if cs.plan.Step == 1 || alone || now.Sub(cs.planSeenAt) >= adoptTimeout {
-		cs.stepper.Adopt(move.FromPlan(cs.plan), now)
+		cs.stepper.Initialize(move.FromPlan(cs.plan), now)
 		c.dirty = true
 	}
 }
 
 // currentStep returns the plan step that the class is moving to, or 0 before its first placement.
 func (cs *classState) currentStep() int64 {
-	if !cs.stepper.Adopted() {
+	if !cs.stepper.Initialized() {
 		return 0
 	}
 	return cs.plan.Step
 }
 
-// neighboursBegan reports whether all neighbors have begun a plan step. A neighbor that reports
+// neighboursBegan reports whether all neighbours have begun a plan step. A neighbour that reports
 // no step has settled on the plan of its configuration version.
 func (c *Control) neighboursBegan(class string, step int64, neighbours []instance.Member) bool {
 	version := c.planVersion(class)
 	for _, m := range neighbours {
 		begun, found := reportedStep(m, class)
-		if found && begun.Begun > 0 && begun.Begun < step || !found && m.Version < version {
+		if found && begun.Started > 0 && begun.Started < step || !found && m.Version < version {
 			return false
 		}
 	}
@@ -275,11 +275,11 @@
 		if cs == nil || cs.plan.Step == 0 {
 			continue
 		}
-		settled, left := cs.stepper.Settled(cs.demand())
-		if settled == cs.plan.Step && cs.stepper.Resting() {
+		settled, left := cs.stepper.Progress(cs.demand())
+		if settled == cs.plan.Step && cs.stepper.Idle() {
 			continue
 		}
-		steps = append(steps, instance.Step{Class: k.Name, Begun: cs.currentStep(), Settled: settled, Left: left})
+		steps = append(steps, instance.Step{Class: k.Name, Started: cs.currentStep(), Completed: settled, Remaining: left})
 	}
 	return steps
 }
--- a/dispatch/notice_test.go
+++ b/dispatch/notice_test.go
@@ -12,223 +12,228 @@
 	"lovageyard.example/lovageyard/dispatch"
 )
 
-// hear has an answer of a server ask for something.
-func (y *yard) hear(server string, n lovageyard.Backpressure) {
-	y.table.Hear(y.listed(server).BackendServer, n, y.now, y.now)
+// observe applies a notice as if it came with a response of a server.
+func (tt *testTable) observe(server string, n lovageyard.Backpressure) {
+	tt.table.Observe(tt.listed(server).BackendServer, n, tt.now, tt.now)
 }
 
-func (y *yard) listed(server string) *catalog.Server {
-	for i := range y.view.Servers {
-		if y.view.Servers[i].Name == server {
-			return &y.view.Servers[i]
+func (tt *testTable) listed(server string) *catalog.Server {
+	for i := range tt.view.Servers {
+		if tt.view.Servers[i].Name == server {
+			return &tt.view.Servers[i]
 		}
 	}
-	y.c.Fatalf("no server %s", server)
+	tt.c.Fatalf("no server %s", server)
 	return nil
 }
 
-// sends returns how many requests each server gets in a span in which they come fast, for many objects or for none.
-func (y *yard) sends(span time.Duration, named bool, notice map[string]lovageyard.Backpressure) map[string]int {
+// countSends sends requests at short intervals, for many objects or for none, and returns how many
+// each server gets.
+func (tt *testTable) countSends(period time.Duration, named bool, notice map[string]lovageyard.Backpressure) map[string]int {
 	counts := make(map[string]int)
-	for end := y.now.Add(span); y.now.Before(end); y.now = y.now.Add(20 * time.Millisecond) {
+	for end := tt.now.Add(period); tt.now.Before(end); tt.now = tt.now.Add(20 * time.Millisecond) {
 		key := ""
 		if named {
-			key = fmt.Sprint(y.now.UnixNano())
+			key = fmt.Sprint(tt.now.UnixNano())
 		}
-		choice := y.choose(key)
+		choice := tt.choose(key)
 		if choice.Refused {
 			counts[choice.Cause]++
 			continue
 		}
 		counts[choice.Server.Name]++
-		y.table.Hear(choice.Server, notice[choice.Server.Name], y.now, y.now)
-		y.done(choice, dispatch.Outcome{Answered: true})
+		tt.table.Observe(choice.Server, notice[choice.Server.Name], tt.now, tt.now)
+		tt.finish(choice, dispatch.Outcome{Answered: true})
 	}
 	return counts
 }
 
-// Every way to a server that names a limit keeps to it: homes of objects, the least expected time, repeats, and
-// sends over a fresh connection. What it does not take others do.
-func TestEveryWayToAServerKeepsItsLimit(t *testing.T) {
+// A server's rate limit must hold for all requests, whether they are bound to an object or not; the
+// excess goes to other servers.
+func TestAllChoicesKeepServerLimit(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
-			y := newYard(t)
+			tt := newTestTable(t)
 			limited := lovageyard.Backpressure{Limited: true, Limit: 2}
-			y.hear("east-0", limited)
-			counts := y.sends(20*time.Second, named, map[string]lovageyard.Backpressure{"east-0": limited})
-			y.c.Assert(counts["east-0"] <= 40, qt.IsTrue, qt.Commentf("%v", counts))
-			y.c.Assert(counts["east-0"] > 20, qt.IsTrue, qt.Commentf("%v", counts))
-			y.c.Assert(counts["east-0"]+counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 1000)
+			tt.observe("east-0", limited)
+			counts := tt.countSends(20*time.Second, named, map[string]lovageyard.Backpressure{"east-0": limited})
+			tt.c.Assert(counts["east-0"] <= 40, qt.IsTrue, qt.Commentf("%v", counts))
+			tt.c.Assert(counts["east-0"] > 20, qt.IsTrue, qt.Commentf("%v", counts))
+			tt.c.Assert(counts["east-0"]+counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 1000)
 		})
 	}
 }
 
-func TestRepeatAndSecondSendKeepALimit(t *testing.T) {
-	y := newYard(t)
-	y.view.Servers = y.view.Servers[:2]
-	y.table.SetCatalog(y.view, y.now)
-	y.hear("east-0", lovageyard.Backpressure{Limited: true, Limit: 2})
-	y.now = y.now.Add(2 * time.Second)
-	choice := y.choose("", "east-1")
-	y.c.Assert(choice.Refused, qt.IsFalse)
-	y.c.Assert(y.table.MaySendAgain(choice, y.now), qt.IsFalse)
-	repeat := y.choose("", "east-1")
-	y.c.Assert(repeat.Refused, qt.IsTrue)
-	y.c.Assert(repeat.Cause, qt.Equals, dispatch.CauseBackpressure)
-	other := y.choose("", "east-0")
-	y.c.Assert(y.table.MaySendAgain(other, y.now), qt.IsTrue)
+func TestRetryAndResendKeepLimit(t *testing.T) {
+	tt := newTestTable(t)
+	tt.view.Servers = tt.view.Servers[:2]
+	tt.table.SetCatalog(tt.view, tt.now)
+	tt.observe("east-0", lovageyard.Backpressure{Limited: true, Limit: 2})
+	tt.now = tt.now.Add(2 * time.Second)
+	choice := tt.choose("", "east-1")
+	tt.c.Assert(choice.Refused, qt.IsFalse)
+	tt.c.Assert(tt.table.TakeResend(choice, tt.now), qt.IsFalse)
+	repeat := tt.choose("", "east-1")
+	tt.c.Assert(repeat.Refused, qt.IsTrue)
+	tt.c.Assert(repeat.Cause, qt.Equals, dispatch.CauseBackpressure)
+	other := tt.choose("", "east-0")
+	tt.c.Assert(tt.table.TakeResend(other, tt.now), qt.IsTrue)
 }
 
-// Where all servers have asked for less, a request is refused at once, and told when one of them takes it.
-func TestRequestThatNoServerTakesIsToldWhenToComeBack(t *testing.T) {
-	y := newYard(t)
-	for _, s := range y.view.Servers {
-		y.hear(s.Name, lovageyard.Backpressure{Limited: true, Limit: 0.5})
+// If all servers have set a rate limit, a request is refused immediately, and its retry delay ends
+// when one of them accepts it.
+func TestRefusedRequestGetsRetryAfter(t *testing.T) {
+	tt := newTestTable(t)
+	for _, s := range tt.view.Servers {
+		tt.observe(s.Name, lovageyard.Backpressure{Limited: true, Limit: 0.5})
 	}
-	refused := y.choose("k")
-	y.c.Assert(refused.Cause, qt.Equals, dispatch.CauseBackpressure)
-	y.now = y.now.Add(refused.RetryAfter)
-	y.c.Assert(y.choose("k").Refused, qt.IsFalse)
+	refused := tt.choose("k")
+	tt.c.Assert(refused.Cause, qt.Equals, dispatch.CauseBackpressure)
+	tt.now = tt.now.Add(refused.RetryAfter)
+	tt.c.Assert(tt.choose("k").Refused, qt.IsFalse)
 }
 
-// What a server asked for outlasts a time in which the platform does not list it, and a limit of one life is none
-// of the next.
-func TestNoticeOutlastsALapsedEntryButNotALife(t *testing.T) {
-	y := newYard(t)
-	y.hear("east-0", lovageyard.Backpressure{Limited: true, Limit: 0.01})
-	all := y.view.Servers
-	y.view.Servers = all[1:2]
-	y.table.SetCatalog(y.view, y.now)
-	y.view.Servers = all[:2]
-	y.table.SetCatalog(y.view, y.now)
-	y.c.Assert(y.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
+// A server's rate limit must survive a time in which the platform does not list the server, but not
+// a restart of the server.
+func TestLimitSurvivesUnlistingButNotRestart(t *testing.T) {
+	tt := newTestTable(t)
+	tt.observe("east-0", lovageyard.Backpressure{Limited: true, Limit: 0.01})
+	all := tt.view.Servers
+	tt.view.Servers = all[1:2]
+	tt.table.SetCatalog(tt.view, tt.now)
+	tt.view.Servers = all[:2]
+	tt.table.SetCatalog(tt.view, tt.now)
+	tt.c.Assert(tt.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
 	all[0].Incarnation = 7
-	y.table.SetCatalog(y.view, y.now)
-	y.c.Assert(y.choose("", "east-1").Refused, qt.IsFalse)
-	// Late word of the life before is none of this one.
+	tt.table.SetCatalog(tt.view, tt.now)
+	tt.c.Assert(tt.choose("", "east-1").Refused, qt.IsFalse)
+	// A late response of the previous incarnation must not affect this one.
 	earlier := all[0].BackendServer
 	earlier.Incarnation = 0
-	y.table.Hear(earlier, lovageyard.Backpressure{Limited: true, Limit: 0.01}, y.now, y.now)
-	y.c.Assert(y.choose("", "east-1").Refused, qt.IsFalse)
+	tt.table.Observe(earlier, lovageyard.Backpressure{Limited: true, Limit: 0.01}, tt.now, tt.now)
+	tt.c.Assert(tt.choose("", "east-1").Refused, qt.IsFalse)
 }
 
-// The answer of a server that the platform has just ceased to list still counts when it is listed again.
-func TestNoticeOfAnUnlistedServerIsKept(t *testing.T) {
-	y := newYard(t)
-	all := y.view.Servers
-	y.view.Servers = all[1:2]
-	y.table.SetCatalog(y.view, y.now)
-	y.table.Hear(all[0].BackendServer, lovageyard.Backpressure{Limited: true, Limit: 0.01}, y.now, y.now)
-	y.view.Servers = all[:2]
-	y.table.SetCatalog(y.view, y.now)
-	y.c.Assert(y.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
+// A response that arrives just after the platform stopped listing its server still counts when the
+// server is listed again.
+func TestLimitOfUnlistedServerIsKept(t *testing.T) {
+	tt := newTestTable(t)
+	all := tt.view.Servers
+	tt.view.Servers = all[1:2]
+	tt.table.SetCatalog(tt.view, tt.now)
+	tt.table.Observe(all[0].BackendServer, lovageyard.Backpressure{Limited: true, Limit: 0.01}, tt.now, tt.now)
+	tt.view.Servers = all[:2]
+	tt.table.SetCatalog(tt.view, tt.now)
+	tt.c.Assert(tt.choose("", "east-1").Cause, qt.Equals, dispatch.CauseBackpressure)
 }
 
-// A server that says in an answer that it leaves gets no further request, on whichever way, and its objects have other
-// homes. If all say so, callers are refused at once.
-func TestServerThatSaysItLeavesGetsNothing(t *testing.T) {
+// A server that announces its shutdown in a response must get no further request, whether it is
+// bound to an object or not. If all servers have done so, requests are refused immediately.
+func TestLeavingServerGetsNoRequests(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
-			y := newYard(t)
-			inFlight := y.choose("")
-			y.hear("east-0", lovageyard.Backpressure{Leaving: true})
-			counts := y.sends(10*time.Second, named, nil)
-			y.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
-			y.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 500)
-			y.hear(inFlight.Server.Name, lovageyard.Backpressure{Leaving: true})
-			y.c.Assert(y.table.MaySendAgain(inFlight, y.now), qt.IsFalse)
-			for _, s := range y.view.Servers {
-				y.hear(s.Name, lovageyard.Backpressure{Leaving: true})
+			tt := newTestTable(t)
+			inFlight := tt.choose("")
+			tt.observe("east-0", lovageyard.Backpressure{Leaving: true})
+			counts := tt.countSends(10*time.Second, named, nil)
+			tt.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
+			tt.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 500)
+			tt.observe(inFlight.Server.Name, lovageyard.Backpressure{Leaving: true})
+			tt.c.Assert(tt.table.TakeResend(inFlight, tt.now), qt.IsFalse)
+			for _, s := range tt.view.Servers {
+				tt.observe(s.Name, lovageyard.Backpressure{Leaving: true})
 			}
-			y.c.Assert(y.choose("k").Cause, qt.Equals, dispatch.CauseNoServer)
+			tt.c.Assert(tt.choose("k").Cause, qt.Equals, dispatch.CauseNoServer)
 		})
 	}
 }
 
-// A server that left is known to have left when its entry lapses and comes back, as after an outage of the platform; one
-// that starts again, in a new life or after it was gone for a while, is used.
-func TestServerThatLeftIsUsedOnceItHasStartedAgain(t *testing.T) {
+// A server that announced its shutdown must not be used when its entry expires and returns, as in
+// an outage of the platform. It must be used after a restart, that is, with a new incarnation or
+// after it was unlisted for a while.
+func TestLeavingServerIsUsedAfterRestart(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		away   time.Duration
-		life   int64
-		isUsed bool
+		name        string
+		unlistedFor time.Duration
+		incarnation int64
+		isUsed      bool
 	}{
-		{"lapsed for a moment", 2 * time.Second, 0, false},
-		{"gone for a while", 6 * time.Second, 0, true},
-		{"a new life", 0, 8, true},
-		{"the same life after long", time.Minute, 7, false},
+		{"unlisted briefly", 2 * time.Second, 0, false},
+		{"unlisted for longer than the assumed restart gap", 6 * time.Second, 0, true},
+		{"new incarnation", 0, 8, true},
+		{"same incarnation after a long time", time.Minute, 7, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			y := newYard(t)
-			all := y.view.Servers[:2]
-			if test.life > 0 {
+			tt := newTestTable(t)
+			all := tt.view.Servers[:2]
+			if test.incarnation > 0 {
 				all[0].Incarnation = 7
 			}
-			y.view.Servers = all
-			y.table.SetCatalog(y.view, y.now)
-			y.hear("east-0", lovageyard.Backpressure{Leaving: true})
-			if test.away > 0 {
-				y.view.Servers = all[1:]
-				y.table.SetCatalog(y.view, y.now)
-				y.now = y.now.Add(test.away)
+			tt.view.Servers = all
+			tt.table.SetCatalog(tt.view, tt.now)
+			tt.observe("east-0", lovageyard.Backpressure{Leaving: true})
+			if test.unlistedFor > 0 {
+				tt.view.Servers = all[1:]
+				tt.table.SetCatalog(tt.view, tt.now)
+				tt.now = tt.now.Add(test.unlistedFor)
 			}
-			all[0].Incarnation = test.life
-			y.view.Servers = all
-			y.table.SetCatalog(y.view, y.now)
-			y.c.Assert(y.choose("", "east-1").Refused, qt.Equals, !test.isUsed)
+			all[0].Incarnation = test.incarnation
+			tt.view.Servers = all
+			tt.table.SetCatalog(tt.view, tt.now)
+			tt.c.Assert(tt.choose("", "east-1").Refused, qt.Equals, !test.isUsed)
 		})
 	}
 }
 
-// A server that asks for a backoff gets nothing on any way until that is over, and work again then.
-func TestServerThatAsksForABackoffGetsNothing(t *testing.T) {
+// A server that requests a backoff must get no requests until the backoff ends, and requests again
+// afterwards.
+func TestBackingOffServerGetsNoRequests(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		t.Run(fmt.Sprint(named), func(t *testing.T) {
-			y := newYard(t)
-			y.hear("east-0", lovageyard.Backpressure{Backoff: 3 * time.Second})
-			counts := y.sends(3*time.Second, named, nil)
-			y.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
-			y.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 150)
-			counts = y.sends(3*time.Second, named, nil)
-			y.c.Assert(counts["east-0"] > 10, qt.IsTrue, qt.Commentf("%v", counts))
+			tt := newTestTable(t)
+			tt.observe("east-0", lovageyard.Backpressure{Backoff: 3 * time.Second})
+			counts := tt.countSends(3*time.Second, named, nil)
+			tt.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
+			tt.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 150)
+			counts = tt.countSends(3*time.Second, named, nil)
+			tt.c.Assert(counts["east-0"] > 10, qt.IsTrue, qt.Commentf("%v", counts))
 		})
 	}
 }
 
-// A backoff that is asked for while a request is on its way to a server holds for that request, too.
-func TestBackoffHoldsForARequestThatIsNotSentYet(t *testing.T) {
-	y := newYard(t)
-	choice := y.choose("k")
-	y.c.Assert(y.table.MaySend(choice, y.now), qt.IsTrue)
-	y.hear(choice.Server.Name, lovageyard.Backpressure{Backoff: time.Second})
-	y.c.Assert(y.table.MaySend(choice, y.now), qt.IsFalse)
-	y.c.Assert(y.table.MaySendAgain(choice, y.now), qt.IsFalse)
-	y.c.Assert(y.table.MaySend(choice, y.now.Add(time.Second)), qt.IsTrue)
+// A backoff that is requested after a server was chosen must also hold for the chosen request.
+func TestBackoffHoldsForUnsentRequest(t *testing.T) {
+	tt := newTestTable(t)
+	choice := tt.choose("k")
+	tt.c.Assert(tt.table.MaySend(choice, tt.now), qt.IsTrue)
+	tt.observe(choice.Server.Name, lovageyard.Backpressure{Backoff: time.Second})
+	tt.c.Assert(tt.table.MaySend(choice, tt.now), qt.IsFalse)
+	tt.c.Assert(tt.table.TakeResend(choice, tt.now), qt.IsFalse)
+	tt.c.Assert(tt.table.MaySend(choice, tt.now.Add(time.Second)), qt.IsTrue)
 }
 
-// Callers whom no server takes for now are told when the first of them does.
-func TestBackoffOfAllServersIsToldToCallers(t *testing.T) {
-	y := newYard(t)
-	for i, s := range y.view.Servers {
-		y.hear(s.Name, lovageyard.Backpressure{Backoff: time.Duration(3+i) * time.Second})
+// If all servers have requested a backoff, the retry delay ends when the first backoff does.
+func TestBackoffOfAllServersSetsRetryAfter(t *testing.T) {
+	tt := newTestTable(t)
+	for i, s := range tt.view.Servers {
+		tt.observe(s.Name, lovageyard.Backpressure{Backoff: time.Duration(3+i) * time.Second})
 	}
-	refused := y.choose("k")
-	y.c.Assert(refused.Cause, qt.Equals, dispatch.CauseBackpressure)
-	y.c.Assert(refused.RetryAfter >= 3*time.Second, qt.IsTrue)
-	y.c.Assert(refused.RetryAfter < 4*time.Second, qt.IsTrue)
+	refused := tt.choose("k")
+	tt.c.Assert(refused.Cause, qt.Equals, dispatch.CauseBackpressure)
+	tt.c.Assert(refused.RetryAfter >= 3*time.Second, qt.IsTrue)
+	tt.c.Assert(refused.RetryAfter < 4*time.Second, qt.IsTrue)
 }
 
-// A server that has refused for a backoff is home to its objects again once that is over.
-func TestBackoffLeavesNoMark(t *testing.T) {
-	y := newYard(t)
-	home := y.run("k").Name
+// After a backoff, the server must still be the home of its objects.
+func TestBackoffDoesNotMoveObjects(t *testing.T) {
+	tt := newTestTable(t)
+	home := tt.run("k").Name
 	for range 10 {
-		choice := y.choose("k")
-		y.c.Assert(choice.Server.Name, qt.Equals, home)
+		choice := tt.choose("k")
+		tt.c.Assert(choice.Server.Name, qt.Equals, home)
 		notice := lovageyard.Backpressure{Backoff: 100 * time.Millisecond}
-		y.hear(home, notice)
-		y.done(choice, dispatch.Outcome{Answered: true, Failed: true, NotRun: true, Meta: lovageyard.ResponseMeta{Backpressure: notice}})
-		y.now = y.now.Add(100 * time.Millisecond)
+		tt.observe(home, notice)
+		tt.finish(choice, dispatch.Outcome{Answered: true, Failed: true, NotRun: true, Meta: lovageyard.ResponseMeta{Backpressure: notice}})
+		tt.now = tt.now.Add(100 * time.Millisecond)
 	}
 }
--- a/move/cell.go
+++ b/move/cell.go
@@ -2,73 +2,74 @@
 
 import "lovageyard.example/lovageyard"
 
-// whole is the fraction from which on a cell counts as moved altogether.
-const whole = 1 - 1e-9
+// completeFraction is the moved fraction from which on a cell counts as moved in full; it allows for
+// rounding errors.
+const completeFraction = 1 - 1e-9
 
-// Cell says where the work of one bucket goes.
+// Cell is the placement of one bucket of a home failure domain.
 type Cell struct {
-	// Site is where the bucket's work is.
+	// Site is the site that serves the bucket.
 	Site string
-	// Next is where it moves to; equal to Site if it does not move.
-	Next string
-	// Settled is the fraction, 0 to 1, that has moved for good.
-	Settled float64
-	// Moving says that the rest moves in this step, as far as the gate allows.
+	// Target is the site that the bucket moves to; it equals Site if the bucket does not move.
+	Target string
+	// Shifted is the fraction of the bucket, 0 to 1, that has moved permanently.
+	Shifted float64
+	// Moving reports whether the rest moves in the current step, as the limiter allows.
 	Moving bool
 }
 
-// Route returns the site of a request, and whether the request counts as moved work.
-// The position is drawn anew for each request, evenly from 0 to 1, so that no client
-// outweighs the settled fraction; the rest asks the gate while the cell is moving.
-func (c *Cell) Route(position float64, g *Gate) (site string, moved bool) {
+// Route returns the site of a request, and whether the limiter admitted the request to the target.
+// The position is a uniform random number from 0 to 1, drawn for each request, so that a client with
+// many requests does not skew the shifted fraction.
+func (c *Cell) Route(position float64, l *Limiter) (site string, moved bool) {
 	switch {
-	case c.Next == c.Site:
+	case c.Target == c.Site:
 		return c.Site, false
-	case position < c.Settled:
-		return c.Next, false
-	case c.Moving && g.Take():
-		return c.Next, true
+	case position < c.Shifted:
+		return c.Target, false
+	case c.Moving && l.Allow():
+		return c.Target, true
 	}
 	return c.Site, false
 }
 
-// settle ends the cell's step, in which the given ratio of the rest was admitted.
-func (c *Cell) settle(ratio float64) {
+// completeStep ends the cell's step, in which the given fraction of the rest was admitted.
+func (c *Cell) completeStep(ratio float64) {
 	c.Moving = false
-	c.Settled += (1 - c.Settled) * ratio
-	if c.Settled >= whole {
-		*c = Cell{Site: c.Next, Next: c.Next}
+	c.Shifted += (1 - c.Shifted) * ratio
+	if c.Shifted >= completeFraction {
+		*c = Cell{Site: c.Target, Target: c.Target}
 	}
 }
 
-// aim points a cell that is between steps at a site. A cell that has moved in part
-// first ends that move, or turns round if it is to go back.
-func (c *Cell) aim(site string) {
+// retarget sets the target of a cell that is between steps. A cell that has moved in part first
+// completes that move, or reverses it if the new target is its original site.
+func (c *Cell) retarget(site string) {
 	switch {
-	case c.Settled == 0:
-		*c = Cell{Site: c.Site, Next: site}
+	case c.Shifted == 0:
+		*c = Cell{Site: c.Site, Target: site}
 	case site == c.Site:
-		*c = Cell{Site: c.Next, Next: c.Site, Settled: 1 - c.Settled}
+		*c = Cell{Site: c.Target, Target: c.Site, Shifted: 1 - c.Shifted}
 	}
 }
 
-// Home holds the cells of one home failure domain.
+// Home holds the cells of one home failure domain, indexed by bucket.
 type Home struct {
 	FailureDomain string
 	Cells         []Cell
 }
 
-// Applied is what one entry instance applies for a class.
-type Applied struct {
-	// Step is the plan step whose placement the cells have reached or move to.
+// Placement is the placement that one entry instance applies for a class.
+type Placement struct {
+	// Step is the plan step that the cells have reached or move to.
 	Step int64
 	// Homes are in the order of the plan.
 	Homes []Home
 }
 
-// FromPlan returns the placement of a plan as applied in full.
-func FromPlan(p lovageyard.ClassPlan) Applied {
-	a := Applied{Step: p.Step, Homes: make([]Home, 0, len(p.Homes))}
+// FromPlan returns the placement of a plan with all moves completed.
+func FromPlan(p lovageyard.ClassPlan) Placement {
+	a := Placement{Step: p.Step, Homes: make([]Home, 0, len(p.Homes))}
 	for _, h := range p.Homes {
 		a.Homes = append(a.Homes, newHome(&p, h.FailureDomain))
 	}
@@ -79,22 +80,23 @@
 	h := Home{FailureDomain: home, Cells: make([]Cell, lovageyard.Buckets)}
 	for bucket := range h.Cells {
 		site := p.SiteOf(home, bucket)
-		h.Cells[bucket] = Cell{Site: site, Next: site}
+		h.Cells[bucket] = Cell{Site: site, Target: site}
 	}
 	return h
 }
 
-// Clone returns a copy that shares nothing with a.
-func (a Applied) Clone() Applied {
+// Clone returns a deep copy.
+func (a Placement) Clone() Placement {
 	homes := make([]Home, len(a.Homes))
 	for i, h := range a.Homes {
 		homes[i] = Home{FailureDomain: h.FailureDomain, Cells: append([]Cell(nil), h.Cells...)}
 	}
-	return Applied{Step: a.Step, Homes: homes}
+	return Placement{Step: a.Step, Homes: homes}
 }
 
-// Find returns the cells of a home failure domain, or nil.
-func (a *Applied) Find(home string) []Cell {
+// Find returns the cells of a home failure domain, or nil if the placement has none. The cells are
+// not copied.
+func (a *Placement) Find(home string) []Cell {
 	for i := range a.Homes {
 		if a.Homes[i].FailureDomain == home {
 			return a.Homes[i].Cells
