--- a/configuration/doc.go
+++ b/configuration/doc.go
@@ -1,3 +1,4 @@
-// Package configuration keeps one instance's copy of the rows that are in force,
-// and hands others the rows they lack.
+// Package configuration holds an instance's replica of the configuration rows of the platform.
+// The replica is updated with versioned changes, never goes back to an older version, and
+// supplies the changes that other replicas lack. It also decodes the rows and caches the results.
 package configuration
--- a/configuration/state.go
+++ b/configuration/state.go
@@ -10,7 +10,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Tables lists the tables whose rows are replicated to every entry instance.
+// Tables returns the names of the tables whose rows are replicated to every entry instance.
 func Tables() []string {
 	return []string{
 		lovageyard.TableClasses,
@@ -20,52 +20,53 @@
 	}
 }
 
-// State is one instance's copy of the configuration. It never goes to a lower version.
+// State is one instance's replica of the configuration. Its version never decreases. It is not
+// safe for concurrent use.
 type State struct {
 	version int64
-	// floor is the version of the last whole reading: removals before it are not known.
-	floor   int64
-	rows    map[rowKey]lovageyard.Row
-	decoded map[rowKey]decodedRow
+	// lastFullRead is the version of the last read of all rows. Deletions before it are unknown.
+	lastFullRead int64
+	rows         map[rowID]lovageyard.Row
+	decoded      map[rowID]decodedRow
 }
 
-// decodedRow keeps a row's decoded value until the row changes.
+// decodedRow caches a row's decoded value until the row changes.
 type decodedRow struct {
 	version int64
 	value   any
 }
 
-type rowKey struct {
+type rowID struct {
 	table string
 	key   string
 }
 
-// NewState returns a state at version 0 without rows.
+// NewState returns an empty state at version 0.
 func NewState() *State {
 	return &State{
-		rows:    make(map[rowKey]lovageyard.Row),
-		decoded: make(map[rowKey]decodedRow),
+		rows:    make(map[rowID]lovageyard.Row),
+		decoded: make(map[rowID]decodedRow),
 	}
 }
 
-// Version returns the version up to which the state holds every change.
+// Version returns the version up to which the state includes every change.
 func (s *State) Version() int64 {
 	return s.version
 }
 
-// Apply takes in changes and says whether the state advanced. Changes that start
-// after the state's version would leave a gap; they are refused. Changes after version 0
-// are all rows; those that they lack are gone.
+// Apply applies changes and reports whether the version advanced. Changes that start after the
+// state's version would leave a gap, and are an error. Changes after version 0 contain all rows;
+// rows that are missing from them have been deleted.
 func (s *State) Apply(c lovageyard.Changes) (bool, error) {
 	if c.After > s.version {
-		return false, errors.Errorf("changes after %d leave a gap behind version %d", c.After, s.version)
+		return false, errors.Errorf("changes after version %d leave a gap after version %d", c.After, s.version)
 	}
 	if c.To <= s.version {
 		return false, nil
 	}
-	present := make(map[rowKey]bool)
+	present := make(map[rowID]bool)
 	for _, row := range c.Rows {
-		k := rowKey{table: row.Table, key: row.Key}
+		k := rowID{table: row.Table, key: row.Key}
 		present[k] = true
 		if row.Version > s.rows[k].Version {
 			s.rows[k] = row
@@ -73,14 +74,14 @@
 	}
 	if c.After == 0 {
 		s.removeAbsent(present, c.To)
-		s.floor = c.To
+		s.lastFullRead = c.To
 	}
 	s.version = c.To
 	return true, nil
 }
 
-// removeAbsent marks the rows as deleted that a whole reading up to a version lacks.
-func (s *State) removeAbsent(present map[rowKey]bool, version int64) {
+// removeAbsent marks as deleted the rows that are missing from a read of all rows at a version.
+func (s *State) removeAbsent(present map[rowID]bool, version int64) {
 	for k, row := range s.rows {
 		if !present[k] && !row.Deleted {
 			s.rows[k] = lovageyard.Row{Table: k.table, Key: k.key, Version: version, Deleted: true}
@@ -88,10 +89,10 @@
 	}
 }
 
-// Since returns the changes after a version, in the order of their versions, or all rows,
-// as changes after version 0, if removals since that version may not be known.
+// Since returns the changes after a version, ordered by version. If deletions since that version
+// may be unknown, it returns all rows as changes after version 0.
 func (s *State) Since(after int64) lovageyard.Changes {
-	if after < s.floor {
+	if after < s.lastFullRead {
 		after = 0
 	}
 	c := lovageyard.Changes{After: after, To: s.version}
@@ -118,23 +119,23 @@
 	return strings.Compare(a.Table+"/"+a.Key, b.Table+"/"+b.Key)
 }
 
-// Row returns a row that exists, and whether it does.
+// Row returns a row and whether it exists; a deleted row does not.
 func (s *State) Row(table, key string) (lovageyard.Row, bool) {
-	row, found := s.rows[rowKey{table: table, key: key}]
+	row, found := s.rows[rowID{table: table, key: key}]
 	return row, found && !row.Deleted
 }
 
-// Classes returns the classes in force, in the order of their names.
+// Classes returns the classes, sorted by name. Rows that cannot be decoded are omitted.
 func (s *State) Classes() []lovageyard.Class {
 	return decodeAll[lovageyard.Class](s, lovageyard.TableClasses)
 }
 
-// Orders returns the orders for sites, in the order of the sites' names.
+// Orders returns the operators' orders for sites, sorted by site name.
 func (s *State) Orders() []lovageyard.SiteOrder {
 	return decodeAll[lovageyard.SiteOrder](s, lovageyard.TableSites)
 }
 
-// Plans returns the plans in force, in the order of the classes' names.
+// Plans returns the current plans, sorted by class name.
 func (s *State) Plans() []lovageyard.ClassPlan {
 	return decodeAll[lovageyard.ClassPlan](s, lovageyard.TablePlans)
 }
@@ -158,9 +159,9 @@
 	return values
 }
 
-// decode returns a row's value; it decodes a row once for each version.
+// decode returns a row's value. Each version of a row is decoded only once.
 func decode[T any](s *State, row lovageyard.Row) (value T, ok bool) {
-	k := rowKey{table: row.Table, key: row.Key}
+	k := rowID{table: row.Table, key: row.Key}
 	if known, found := s.decoded[k]; found && known.version == row.Version {
 		value, ok = known.value.(T)
 		return value, ok
--- a/configuration/state_test.go
+++ b/configuration/state_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestSinceFillsAnyGap passes the changes on from copy to copy, from any version.
-func TestSinceFillsAnyGap(t *testing.T) {
+// TestSinceFromAnyVersion checks that a replica at any version catches up by the result of Since.
+func TestSinceFromAnyVersion(t *testing.T) {
 	c := qt.New(t)
 	source := NewState()
 	for v := int64(1); v <= 20; v++ {
@@ -75,7 +75,7 @@
 	for _, classes := range []int{25, 50, 100} {
 		b.Run(strconv.Itoa(classes), func(b *testing.B) {
 			s := NewState()
-			value := planValue(b)
+			value := encodedPlan(b)
 			for n := range classes {
 				row := lovageyard.Row{Table: lovageyard.TablePlans, Key: strconv.Itoa(n), Version: int64(n + 1), Value: value}
 				if _, err := s.Apply(lovageyard.Changes{After: int64(n), To: int64(n + 1), Rows: []lovageyard.Row{row}}); err != nil {
@@ -90,15 +90,15 @@
 					b.Fatal(err)
 				}
 				if len(s.Plans()) != classes {
-					b.Fatal("a plan is missing")
+					b.Fatal("Plans returned too few plans")
 				}
 			}
 		})
 	}
 }
 
-// planValue returns a plan of 64 home failure domains.
-func planValue(b *testing.B) []byte {
+// encodedPlan returns a plan with 64 home failure domains, encoded in JSON.
+func encodedPlan(b *testing.B) []byte {
 	p := lovageyard.ClassPlan{Class: "class", Step: 1, Sites: []string{"one", "two"}}
 	for n := range 64 {
 		p.Homes = append(p.Homes, lovageyard.HomePlacement{FailureDomain: strconv.Itoa(n), Buckets: make([]int, lovageyard.Buckets)})
@@ -110,8 +110,9 @@
 	return value
 }
 
-// A removal that came before a whole reading is told to a peer that has missed it.
-func TestSinceTellsOfRemovalsBeforeAWholeReading(t *testing.T) {
+// A replica that has read all rows does not know which rows were deleted before. A peer that
+// missed such a deletion must still learn of it.
+func TestSinceIncludesRemovalsBeforeFullRead(t *testing.T) {
 	c := qt.New(t)
 	peer := NewState()
 	_, err := peer.Apply(lovageyard.Changes{To: 5, Rows: []lovageyard.Row{classRow("a", 3, false), classRow("b", 5, false)}})
--- a/control/control.go
+++ b/control/control.go
@@ -37,8 +37,8 @@
 	probePeriod     = 2 * time.Second
 	// remoteProbePeriod is the probe period for servers in other failure domains.
 	remoteProbePeriod = 10 * time.Second
-	// adoptTimeout is how long an instance waits for a peer to report the applied placement.
-	adoptTimeout = 3 * time.Second
+	// initTimeout is how long an instance waits for a peer to report the applied placement.
+	initTimeout = 3 * time.Second
 	// relayTimeout is the time without a reply from a relay after which an instance reads the
 	// platform itself.
 	relayTimeout = 4 * time.Second
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -464,7 +464,7 @@
 	})
 }
 
-// TestFailoverUsesTheCapAtRest guards against a gate that is only updated during moves: when a
+// TestFailoverUsesTheCapAtRest guards against a limiter that is only updated during moves: when a
 // site fails without a move in progress, the cap must apply to the current demand.
 func TestFailoverUsesTheCapAtRest(t *testing.T) {
 	cl := newTestCluster(t)
--- a/control/publish.go
+++ b/control/publish.go
@@ -43,7 +43,7 @@
 		Class:           cs.class,
 		Step:            cs.plan.Step,
 		Limiter:         cs.stepper.Limiter(),
-		FailoverLimiter: cs.forced,
+		FailoverLimiter: cs.failoverLimiter,
 		Budget:          cs.budget,
 		HomeCounts:      cs.counts,
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -99,11 +99,11 @@
 }
 
 func (c *Control) moveStatus(cs *classState) operator.MoveStatus {
-	settled, remaining := cs.stepper.Progress(cs.demand())
+	completed, remaining := cs.stepper.Progress(cs.demand())
 	m := operator.MoveStatus{
 		Class:          cs.class.Name,
 		Step:           cs.plan.Step,
-		LocalStep:      settled,
+		LocalStep:      completed,
 		LocalRemaining: remaining,
 	}
 	m.ReachedStep, m.Move.Remaining = c.reachedStep(cs.class.Name)
--- a/control/works.go
+++ b/control/works.go
@@ -18,19 +18,19 @@
 
 // classState is the control state of one class.
 type classState struct {
-	class      lovageyard.Class
-	plan       lovageyard.ClassPlan
-	planSeenAt time.Time
-	stepper    *move.Stepper
-	forced     *move.Limiter
-	budget     *server.RetryBudget
-	counts     []*route.HomeCounter
-	rates      []*homeRate
-	measuredAt time.Time
-	// settledStep is the plan step, and settledHomes the number of its homes, last found to be
-	// applied completely.
-	settledStep  int64
-	settledHomes int
+	class           lovageyard.Class
+	plan            lovageyard.ClassPlan
+	planSeenAt      time.Time
+	stepper         *move.Stepper
+	failoverLimiter *move.Limiter
+	budget          *server.RetryBudget
+	counts          []*route.HomeCounter
+	rates           []*homeRate
+	measuredAt      time.Time
+	// completedStep is the plan step, and completedHomes the number of its homes, last found to
+	// be applied completely.
+	completedStep  int64
+	completedHomes int
 	// homes is a copy of the applied placement at the stepper's generation, for the snapshot.
 	homes      []move.Home
 	generation uint64
@@ -86,9 +86,9 @@
 	extra := k.Target.EffectiveFailoverCap() - k.Target.Cap
 	switch {
 	case extra <= 0:
-		cs.forced = cs.stepper.Limiter()
-	case cs.forced == nil || cs.forced == cs.stepper.Limiter():
-		cs.forced = move.NewLimiter(extra, 0)
+		cs.failoverLimiter = cs.stepper.Limiter()
+	case cs.failoverLimiter == nil || cs.failoverLimiter == cs.stepper.Limiter():
+		cs.failoverLimiter = move.NewLimiter(extra, 0)
 	}
 }
 
@@ -123,18 +123,18 @@
 func (c *Control) measure(now time.Time) {
 	for _, cs := range c.classes {
 		cs.measure(now)
-		cs.setGates()
+		cs.setLimiters()
 	}
 }
 
-// setGates updates the gates with the current demand. It does so even when there is no move,
-// because a failover may use the gates at any time.
-func (cs *classState) setGates() {
+// setLimiters updates the limiters with the current demand. It does so even when there is no
+// move, because a failover may use them at any time.
+func (cs *classState) setLimiters() {
 	target := cs.class.Target
 	total := cs.demand().Total
 	cs.stepper.Limiter().SetCap(target.Cap, total)
-	if cs.forced != cs.stepper.Limiter() {
-		cs.forced.SetCap(target.EffectiveFailoverCap()-target.Cap, total)
+	if cs.failoverLimiter != cs.stepper.Limiter() {
+		cs.failoverLimiter.SetCap(target.EffectiveFailoverCap()-target.Cap, total)
 	}
 }
 
@@ -180,7 +180,7 @@
 		if neighbours == nil {
 			neighbours = c.members.Neighbours()
 		}
-		c.adopt(cs, neighbours, now)
+		c.initPlacement(cs, neighbours, now)
 		d := cs.demand()
 		if cs.stepper.Tick(now, d, c.neighboursBegan(name, cs.currentStep(), neighbours)) {
 			c.dirty = true
@@ -195,12 +195,12 @@
 	if !cs.stepper.Due(now) {
 		return true
 	}
-	if cs.settledStep == cs.plan.Step && cs.settledHomes == len(cs.plan.Homes) {
+	if cs.completedStep == cs.plan.Step && cs.completedHomes == len(cs.plan.Homes) {
 		return true
 	}
-	if settled, _ := cs.stepper.Progress(move.Demand{}); settled == cs.plan.Step && cs.stepper.Idle() {
-		cs.settledStep = cs.plan.Step
-		cs.settledHomes = len(cs.plan.Homes)
+	if completed, _ := cs.stepper.Progress(move.Demand{}); completed == cs.plan.Step && cs.stepper.Idle() {
+		cs.completedStep = cs.plan.Step
+		cs.completedHomes = len(cs.plan.Homes)
 	}
 	return false
 }
@@ -217,14 +217,14 @@
 	})
 }
 
-// adopt sets a class's first placement from the plan when no neighbour has reported what is
-// applied: at the plan's first step, or after a timeout.
-func (c *Control) adopt(cs *classState, neighbours []instance.Member, now time.Time) {
+// initPlacement sets a class's first placement from the plan when no neighbour has reported what
+// is applied: at the plan's first step, or after a timeout.
+func (c *Control) initPlacement(cs *classState, neighbours []instance.Member, now time.Time) {
 	if cs.stepper.Initialized() {
 		return
 	}
-	alone := len(neighbours) == 0 && now.Sub(cs.planSeenAt) >= adoptTimeout/3
-	if cs.plan.Step == 1 || alone || now.Sub(cs.planSeenAt) >= adoptTimeout {
+	alone := len(neighbours) == 0 && now.Sub(cs.planSeenAt) >= initTimeout/3
+	if cs.plan.Step == 1 || alone || now.Sub(cs.planSeenAt) >= initTimeout {
 		cs.stepper.Initialize(move.FromPlan(cs.plan), now)
 		c.dirty = true
 	}
@@ -239,7 +239,7 @@
 }
 
 // neighboursBegan reports whether all neighbours have begun a plan step. A neighbour that reports
-// no step has settled on the plan of its configuration version.
+// no step has completed the plan of its configuration version.
 func (c *Control) neighboursBegan(class string, step int64, neighbours []instance.Member) bool {
 	version := c.planVersion(class)
 	for _, m := range neighbours {
@@ -266,8 +266,8 @@
 	return instance.Step{}, false
 }
 
-// ownSteps returns this instance's progress with each class's plan. Classes that have settled
-// are omitted.
+// ownSteps returns this instance's progress with each class's plan. Classes that have completed
+// their plan are omitted.
 func (c *Control) ownSteps() []instance.Step {
 	var steps []instance.Step
 	for _, k := range c.index.All() {
@@ -275,11 +275,11 @@
 		if cs == nil || cs.plan.Step == 0 {
 			continue
 		}
-		settled, left := cs.stepper.Progress(cs.demand())
-		if settled == cs.plan.Step && cs.stepper.Idle() {
+		completed, left := cs.stepper.Progress(cs.demand())
+		if completed == cs.plan.Step && cs.stepper.Idle() {
 			continue
 		}
-		steps = append(steps, instance.Step{Class: k.Name, Started: cs.currentStep(), Completed: settled, Remaining: left})
+		steps = append(steps, instance.Step{Class: k.Name, Started: cs.currentStep(), Completed: completed, Remaining: left})
 	}
 	return steps
 }
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,4 +1,8 @@
-// Package lease keeps a lease with an epoch in one row of the platform's table service.
-// It decides by given times only; every write that the lease protects must also be
-// conditional on the lease's row, so that a holder that wakes late can do no harm.
+// Package lease implements a lease with a fencing epoch, stored in one row of the platform's
+// table service.
+//
+// Expiry is decided by each instance's own clock; clocks of different instances are never
+// compared. A holder that was suspended may still assume that it holds an expired lease.
+// Therefore every write under the lease must be conditional on the version of the lease's
+// row, which Lease.Condition returns.
 package lease
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -10,57 +10,58 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Record is the value of a lease's row.
+// Record is the value of a lease's row, encoded in JSON.
 type Record struct {
 	Holder string `json:"holder"`
-	// Address is where others reach the holder.
+	// Address is the holder's peer address.
 	Address string `json:"address"`
-	// Epoch grows each time the lease changes hands.
+	// Epoch increases each time another holder acquires the lease.
 	Epoch int64 `json:"epoch"`
-	// Renewals grows each time the holder renews.
+	// Renewals increases with each acquisition and each renewal.
 	Renewals int64 `json:"renewals"`
 }
 
-// Lease is one instance's view of a lease. One goroutine uses it at a time.
+// Lease is one instance's view of a lease. It is not safe for concurrent use.
 type Lease struct {
-	table   lovageyard.Table
-	key     string
-	self    Record
-	span    time.Duration
-	seen    lovageyard.Row
-	seenAt  time.Time
-	record  Record
-	heldFor time.Time
+	table     lovageyard.Table
+	key       string
+	self      Record
+	duration  time.Duration
+	row       lovageyard.Row
+	changedAt time.Time
+	record    Record
+	heldUntil time.Time
 }
 
-// New returns a lease that nobody is known to hold.
-func New(table lovageyard.Table, key, holder, address string, span time.Duration) *Lease {
+// New returns a lease whose holder is not known yet. The key names its row, holder identifies
+// this instance, and the lease expires if it is not renewed for duration.
+func New(table lovageyard.Table, key, holder, address string, duration time.Duration) *Lease {
 	return &Lease{
-		table: table,
-		key:   key,
-		self:  Record{Holder: holder, Address: address},
-		span:  span,
+		table:    table,
+		key:      key,
+		self:     Record{Holder: holder, Address: address},
+		duration: duration,
 	}
 }
 
-// Held says whether this instance holds the lease at a time.
+// Held reports whether this instance holds the lease at the given time.
 func (l *Lease) Held(now time.Time) bool {
-	return l.record.Holder == l.self.Holder && now.Before(l.heldFor)
+	return l.record.Holder == l.self.Holder && now.Before(l.heldUntil)
 }
 
-// Record returns the lease's record as last seen.
+// Record returns the lease's record as last read or written.
 func (l *Lease) Record() Record {
 	return l.record
 }
 
-// Condition returns the condition that guards writes under the lease.
+// Condition returns the condition that every write under the lease must include.
 func (l *Lease) Condition() lovageyard.Condition {
-	return lovageyard.Condition{Table: lovageyard.TableLeases, Key: l.key, Version: l.seen.Version}
+	return lovageyard.Condition{Table: lovageyard.TableLeases, Key: l.key, Version: l.row.Version}
 }
 
-// Try takes a free or lapsed lease, or renews an own one. A lease has lapsed when its
-// row has not changed for its span by this instance's own clock, which is read before
-// each write; clocks are never compared.
+// Try acquires a free or expired lease, or renews the lease if this instance holds it. A lease
+// has expired when its row has not changed for the lease's duration by this instance's clock,
+// which is read before each write. Losing the lease to another instance is not an error.
 func (l *Lease) Try(ctx context.Context, clock lovageyard.Timer) error {
 	row, err := l.table.Read(ctx, lovageyard.TableLeases, l.key)
 	if err != nil && !errors.Is(err, lovageyard.ErrNotFound) {
@@ -69,18 +70,18 @@
 	now := clock.Now()
 	l.observe(row, now)
 	own := l.record.Holder == l.self.Holder
-	if !own && row.Version != 0 && now.Sub(l.seenAt) < l.span {
+	if !own && row.Version != 0 && now.Sub(l.changedAt) < l.duration {
 		return nil
 	}
 	return l.write(ctx, now, own)
 }
 
 func (l *Lease) observe(row lovageyard.Row, now time.Time) {
-	if row.Version == l.seen.Version && !l.seenAt.IsZero() {
+	if row.Version == l.row.Version && !l.changedAt.IsZero() {
 		return
 	}
-	l.seen = row
-	l.seenAt = now
+	l.row = row
+	l.changedAt = now
 	l.record = Record{}
 	if len(row.Value) > 0 {
 		_ = json.Unmarshal(row.Value, &l.record)
@@ -104,15 +105,15 @@
 	})
 	var conflict *lovageyard.ConflictError
 	if errors.As(err, &conflict) {
-		l.heldFor = time.Time{}
+		l.heldUntil = time.Time{}
 		return nil
 	}
 	if err != nil {
 		return errors.Wrap(err, "lease")
 	}
-	l.seen = lovageyard.Row{Table: lovageyard.TableLeases, Key: l.key, Version: version, Value: value}
-	l.seenAt = now
+	l.row = lovageyard.Row{Table: lovageyard.TableLeases, Key: l.key, Version: version, Value: value}
+	l.changedAt = now
 	l.record = next
-	l.heldFor = now.Add(l.span * 2 / 3)
+	l.heldUntil = now.Add(l.duration * 2 / 3)
 	return nil
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -13,98 +13,98 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-const span = 6 * time.Second
+const leaseDuration = 6 * time.Second
 
-// flaky is a table whose writes may lose their answers, or not happen at all.
-type flaky struct {
+// faultyTable is a table whose writes may lose their responses or fail.
+type faultyTable struct {
 	lovageyard.Table
-	loseAnswers bool
-	down        bool
+	loseResponses bool
+	down          bool
 }
 
-func (f *flaky) Transact(ctx context.Context, t lovageyard.Transaction) (int64, error) {
+func (f *faultyTable) Transact(ctx context.Context, t lovageyard.Transaction) (int64, error) {
 	if f.down {
 		return 0, errors.Wrap(lovageyard.ErrUnknownOutcome, "down")
 	}
 	version, err := f.Table.Transact(ctx, t)
-	if f.loseAnswers {
-		return 0, errors.Wrap(lovageyard.ErrUnknownOutcome, "answer lost")
+	if f.loseResponses {
+		return 0, errors.Wrap(lovageyard.ErrUnknownOutcome, "response lost")
 	}
 	return version, err
 }
 
-type rig struct {
+type fixture struct {
 	clock *timer.Manual
-	table *flaky
+	table *faultyTable
 	a, b  *Lease
 }
 
-func newRig() *rig {
-	r := &rig{clock: timer.NewManual(time.Unix(1000, 0)), table: &flaky{Table: memory.NewStore()}}
-	r.a = New(r.table, "planner", "a", "a:1", span)
-	r.b = New(r.table, "planner", "b", "b:1", span)
-	return r
+func newFixture() *fixture {
+	f := &fixture{clock: timer.NewManual(time.Unix(1000, 0)), table: &faultyTable{Table: memory.NewStore()}}
+	f.a = New(f.table, "planner", "a", "a:1", leaseDuration)
+	f.b = New(f.table, "planner", "b", "b:1", leaseDuration)
+	return f
 }
 
-func (r *rig) try(c *qt.C, l *Lease) bool {
-	if err := l.Try(context.Background(), r.clock); err != nil {
+func (f *fixture) try(c *qt.C, l *Lease) bool {
+	if err := l.Try(context.Background(), f.clock); err != nil {
 		c.Assert(errors.Is(err, lovageyard.ErrUnknownOutcome), qt.IsTrue, qt.Commentf("%v", err))
 	}
-	return l.Held(r.clock.Now())
+	return l.Held(f.clock.Now())
 }
 
 func TestOneHolder(t *testing.T) {
 	c := qt.New(t)
-	r := newRig()
-	c.Assert(r.try(c, r.a), qt.IsTrue)
+	f := newFixture()
+	c.Assert(f.try(c, f.a), qt.IsTrue)
 	for range 20 {
-		r.clock.Advance(span / 3)
-		c.Assert(r.try(c, r.a), qt.IsTrue)
-		c.Assert(r.try(c, r.b), qt.IsFalse)
+		f.clock.Advance(leaseDuration / 3)
+		c.Assert(f.try(c, f.a), qt.IsTrue)
+		c.Assert(f.try(c, f.b), qt.IsFalse)
 	}
-	c.Assert(r.a.Record().Epoch, qt.Equals, int64(1))
-	c.Assert(r.b.Record().Holder, qt.Equals, "a")
+	c.Assert(f.a.Record().Epoch, qt.Equals, int64(1))
+	c.Assert(f.b.Record().Holder, qt.Equals, "a")
 }
 
-func TestPausedHolderLosesTheLeaseAndItsWrites(t *testing.T) {
+func TestPausedHolderLosesLeaseAndWrites(t *testing.T) {
 	c := qt.New(t)
-	r := newRig()
-	c.Assert(r.try(c, r.a), qt.IsTrue)
-	c.Assert(r.try(c, r.b), qt.IsFalse)
-	guard := r.a.Condition()
-	r.clock.Advance(span)
-	c.Assert(r.a.Held(r.clock.Now()), qt.IsFalse)
-	c.Assert(r.try(c, r.b), qt.IsTrue)
-	c.Assert(r.b.Record().Epoch, qt.Equals, int64(2))
-	_, err := r.table.Transact(context.Background(), lovageyard.Transaction{
-		Conditions: []lovageyard.Condition{guard},
+	f := newFixture()
+	c.Assert(f.try(c, f.a), qt.IsTrue)
+	c.Assert(f.try(c, f.b), qt.IsFalse)
+	condition := f.a.Condition()
+	f.clock.Advance(leaseDuration)
+	c.Assert(f.a.Held(f.clock.Now()), qt.IsFalse)
+	c.Assert(f.try(c, f.b), qt.IsTrue)
+	c.Assert(f.b.Record().Epoch, qt.Equals, int64(2))
+	_, err := f.table.Transact(context.Background(), lovageyard.Transaction{
+		Conditions: []lovageyard.Condition{condition},
 		Writes:     []lovageyard.Write{{Table: lovageyard.TablePlans, Key: "class", Value: []byte("stale")}},
 	})
 	var conflict *lovageyard.ConflictError
 	c.Assert(errors.As(err, &conflict), qt.IsTrue)
-	c.Assert(r.try(c, r.a), qt.IsFalse)
+	c.Assert(f.try(c, f.a), qt.IsFalse)
 }
 
-func TestNewcomerWaitsTheWholeSpan(t *testing.T) {
+func TestNewLeaseWaitsForFullDuration(t *testing.T) {
 	c := qt.New(t)
-	r := newRig()
-	c.Assert(r.try(c, r.a), qt.IsTrue)
-	r.clock.Advance(10 * span)
-	c.Assert(r.try(c, r.b), qt.IsFalse, qt.Commentf("b has not watched the lease for its span"))
-	r.clock.Advance(span)
-	c.Assert(r.try(c, r.b), qt.IsTrue)
+	f := newFixture()
+	c.Assert(f.try(c, f.a), qt.IsTrue)
+	f.clock.Advance(10 * leaseDuration)
+	c.Assert(f.try(c, f.b), qt.IsFalse, qt.Commentf("b has not observed the row for the lease's duration"))
+	f.clock.Advance(leaseDuration)
+	c.Assert(f.try(c, f.b), qt.IsTrue)
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	c := qt.New(t)
-	r := newRig()
-	r.table.loseAnswers = true
-	c.Assert(r.try(c, r.a), qt.IsFalse, qt.Commentf("an outcome that is not known is no lease"))
-	r.table.loseAnswers = false
-	c.Assert(r.try(c, r.a), qt.IsTrue, qt.Commentf("the row that is read back is its own"))
-	c.Assert(r.try(c, r.b), qt.IsFalse)
-	r.table.down = true
-	r.clock.Advance(span)
-	c.Assert(r.try(c, r.a), qt.IsFalse)
-	c.Assert(r.try(c, r.b), qt.IsFalse)
+	f := newFixture()
+	f.table.loseResponses = true
+	c.Assert(f.try(c, f.a), qt.IsFalse, qt.Commentf("a write of unknown outcome does not acquire the lease"))
+	f.table.loseResponses = false
+	c.Assert(f.try(c, f.a), qt.IsTrue, qt.Commentf("the row names a as the holder"))
+	c.Assert(f.try(c, f.b), qt.IsFalse)
+	f.table.down = true
+	f.clock.Advance(leaseDuration)
+	c.Assert(f.try(c, f.a), qt.IsFalse)
+	c.Assert(f.try(c, f.b), qt.IsFalse)
 }
