--- a/integration/accounts_test.go
+++ b/integration/accounts_test.go
@@ -28,7 +28,7 @@
 	keys     int
 }
 
-// Identified records one request that reached the server.
+// AccountSeen records one request that reached the server.
 func (r *callerRecorder) AccountSeen(_, _, account string, showsKey bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/integration/backpressure_test.go
+++ b/integration/backpressure_test.go
@@ -109,9 +109,9 @@
 	return largest
 }
 
-// waitForNotice sends requests to each instance until one has reached the server, whose answer then notifies
-// the instance of the server's limit, backoff or drain.
-func (f *backpressureFleet) waitForNotice(server *fake.Server) {
+// waitForSignal sends requests to each instance until one has reached the server. The answer then carries
+// the server's limit, backoff or drain to the instance.
+func (f *backpressureFleet) waitForSignal(server *fake.Server) {
 	for n, instance := range f.instances {
 		start := time.Now()
 		f.until("each instance to be notified", func() bool {
@@ -138,7 +138,7 @@
 	f := newBackpressureFleet(t, 2, time.Millisecond)
 	limited := f.servers[0]
 	limited.SetLimit(limit)
-	f.waitForNotice(limited)
+	f.waitForSignal(limited)
 	notified := time.Now()
 	statuses := f.load(6 * time.Second)
 	got := maxInWindow(f.arrivals.since(limited.Name, notified), window)
@@ -159,7 +159,7 @@
 	f := newBackpressureFleet(t, 2, time.Millisecond)
 	leaving := f.servers[0]
 	leaving.Leave()
-	f.waitForNotice(leaving)
+	f.waitForSignal(leaving)
 	notified := time.Now()
 	statuses := f.load(2 * drain)
 	late := f.arrivals.since(leaving.Name, notified.Add(drain))
@@ -177,7 +177,7 @@
 	server := f.servers[0]
 	start := time.Now()
 	server.BackOff(backoff)
-	f.waitForNotice(server)
+	f.waitForSignal(server)
 	notified := time.Now()
 	statuses := f.load(3 * time.Second)
 	got := slices.DeleteFunc(f.arrivals.since(server.Name, notified), func(at time.Time) bool { return at.Sub(start) >= backoff })
--- a/soak/accounts.go
+++ b/soak/accounts.go
@@ -67,7 +67,7 @@
 	c.check.RecordOutcome(o)
 }
 
-// Identified checks the account that a server receives for a request, and that it never receives the key.
+// AccountSeen checks the account that a server receives for a request, and that it never receives the key.
 func (c *checker) AccountSeen(server, id, account string, showsKey bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -9,7 +9,7 @@
 )
 
 // Servers that signal backpressure in their answers. The plan combines them with faults of instances and of the
-// store, but not of the links to servers, so that the notices that each instance has received are known.
+// store, but not of the links to servers, so that the signals that each instance has received are known.
 const (
 	limitServer    kind = "limit-server"
 	backOffServer  kind = "back-off-server"
@@ -19,17 +19,17 @@
 // backpressureKinds are the kinds of such a plan. The last three, the backpressure itself, are drawn at least
 // as often as all others together.
 var backpressureKinds = []kind{
-	pauseInstance, killInstance, restartInstance, cutFromStore, storeDown, storeSilent, storeSlow, storeDropsHistory, configure, drainDomain, replaceServer, burst,
+	pauseInstance, killInstance, restartInstance, cutFromStore, storeDown, storeHangs, storeSlow, storeDropsHistory, configure, drainDomain, replaceServer, burst,
 	limitServer, backOffServer, leaveInAnswers,
 }
 
 const (
 	backpressureStream = 4
-	// noticeDelay is the time after an answer in which its instance must apply the notice in it.
-	noticeDelay = time.Second
-	// leaveNoticeBound is the time after an answer that says that its server is leaving from which the
-	// instance must not send the server any requests.
-	leaveNoticeBound = 2500 * time.Millisecond
+	// signalDelay is the time after an answer in which its instance must apply the signal in it.
+	signalDelay = time.Second
+	// leaveSignalBound bounds the time that an instance may still send requests to a server after an answer
+	// that says that the server is leaving.
+	leaveSignalBound = 2500 * time.Millisecond
 	// Check of a rate limit: from limitAfter after it was announced, a server may get limitExcess times what
 	// the limit allows in a limitWindow, plus limitSlack.
 	limitAfter  = 4 * time.Second
@@ -112,10 +112,10 @@
 	server, instance string
 }
 
-// pendingNotice is the notice in a server's answer to a request that has not ended at the caller yet.
-type pendingNotice struct {
+// pendingSignal is the backpressure in a server's answer to a request that its caller has no answer to yet.
+type pendingSignal struct {
 	server string
-	notice lovageyard.Backpressure
+	signal lovageyard.Backpressure
 	at     time.Time
 }
 
@@ -125,85 +125,85 @@
 	sends              int
 }
 
-// notices holds the backpressure that servers have signalled, and the requests that they have received.
-type notices struct {
-	// pending holds the notices of answers by request, until the caller has received an answer.
-	pending map[string][]pendingNotice
-	// leaving and limited hold the time when an instance first forwarded an answer with such a notice.
+// backpressureState holds the backpressure that servers have signalled, and the requests that they received.
+type backpressureState struct {
+	// pending holds the signals of answers by request, until the caller has received an answer.
+	pending map[string][]pendingSignal
+	// leaving and limited hold the time when an instance first forwarded an answer with such a signal.
 	leaving  map[link]time.Time
 	limited  map[link]time.Time
 	backoffs map[link]backoff
-	// limits holds the largest limit that each server has announced recently, and namedAt the time when it
+	// limits holds the largest limit that each server has announced recently, and announcedAt the time when it
 	// announced the first one.
-	limits   map[string]float64
-	namedAt  map[string]time.Time
-	arrivals map[string][]time.Time
+	limits      map[string]float64
+	announcedAt map[string]time.Time
+	arrivals    map[string][]time.Time
 	// startedAt is the start of each instance's current incarnation.
 	startedAt map[string]time.Time
 }
 
-func newNotices() notices {
-	return notices{
-		pending: make(map[string][]pendingNotice), leaving: make(map[link]time.Time), limited: make(map[link]time.Time), backoffs: make(map[link]backoff),
-		limits: make(map[string]float64), namedAt: make(map[string]time.Time), arrivals: make(map[string][]time.Time), startedAt: make(map[string]time.Time),
+func newBackpressureState() backpressureState {
+	return backpressureState{
+		pending: make(map[string][]pendingSignal), leaving: make(map[link]time.Time), limited: make(map[link]time.Time), backoffs: make(map[link]backoff),
+		limits: make(map[string]float64), announcedAt: make(map[string]time.Time), arrivals: make(map[string][]time.Time), startedAt: make(map[string]time.Time),
 	}
 }
 
-// Asked records the notice in a server's answer to a request.
-func (c *checker) BackpressureSent(server, id string, n lovageyard.Backpressure) {
+// BackpressureSent records the signal in a server's answer to a request.
+func (c *checker) BackpressureSent(server, id string, signal lovageyard.Backpressure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.notices.pending[id] = append(c.notices.pending[id], pendingNotice{server, n, now})
+	c.backpressure.pending[id] = append(c.backpressure.pending[id], pendingSignal{server, signal, now})
 	to := link{server, c.sender[id]}
-	if known := c.notices.backoffs[to]; n.Backoff > 0 && now.Add(n.Backoff).After(known.until) {
+	if known := c.backpressure.backoffs[to]; signal.Backoff > 0 && now.Add(signal.Backoff).After(known.until) {
 		if now.After(known.until) {
 			known = backoff{requestedAt: now}
 		}
-		known.until = now.Add(n.Backoff)
-		c.notices.backoffs[to] = known
+		known.until = now.Add(signal.Backoff)
+		c.backpressure.backoffs[to] = known
 	}
-	if !n.Limited {
+	if !signal.Limited {
 		return
 	}
-	if c.notices.namedAt[server].IsZero() {
-		c.notices.namedAt[server] = now
+	if c.backpressure.announcedAt[server].IsZero() {
+		c.backpressure.announcedAt[server] = now
 	}
-	c.notices.limits[server] = max(c.notices.limits[server], n.Limit)
+	c.backpressure.limits[server] = max(c.backpressure.limits[server], signal.Limit)
 }
 
 // recordDelivery records that the caller has an answer to a request, so that the instance has received the
-// notices of all servers that answered it; the caller holds the lock.
+// signals of all servers that answered it; the caller holds the lock.
 func (c *checker) recordDelivery(id string) {
 	now := time.Now()
-	for _, w := range c.notices.pending[id] {
-		to := link{w.server, c.sender[id]}
-		if _, known := c.notices.leaving[to]; !known && w.notice.Leaving {
-			c.notices.leaving[to] = now
+	for _, p := range c.backpressure.pending[id] {
+		to := link{p.server, c.sender[id]}
+		if _, known := c.backpressure.leaving[to]; !known && p.signal.Leaving {
+			c.backpressure.leaving[to] = now
 		}
-		if _, known := c.notices.limited[to]; !known && w.notice.Limited {
-			c.notices.limited[to] = now
+		if _, known := c.backpressure.limited[to]; !known && p.signal.Limited {
+			c.backpressure.limited[to] = now
 		}
 	}
-	delete(c.notices.pending, id)
+	delete(c.backpressure.pending, id)
 }
 
-// wasNotified reports whether an instance still knows a notice that it received at a time: it has not been
+// hasReceived reports whether an instance still knows a signal that it received at a time: it has not been
 // restarted, paused or killed since. The caller holds the lock.
-func (c *checker) wasNotified(check, instance string, at, now time.Time) bool {
-	if c.notices.startedAt[instance].After(at) {
+func (c *checker) hasReceived(check, instance string, at, now time.Time) bool {
+	if c.backpressure.startedAt[instance].After(at) {
 		c.counts["excused "+check]++
 		return false
 	}
 	return c.isUnaffected(check, at, now, affectsInstance(instance))
 }
 
-// checkNotices checks a request that reached a server against the notices of the server; the caller holds the
-// lock.
-func (c *checker) checkNotices(server, id string, now time.Time) {
+// checkBackpressure checks a request that reached a server against the signals of the server; the caller holds
+// the lock.
+func (c *checker) checkBackpressure(server, id string, now time.Time) {
 	to := link{server, c.sender[id]}
-	if notifiedAt, known := c.notices.leaving[to]; known && now.Sub(notifiedAt) > leaveNoticeBound && c.wasNotified("arrivals after an answer that leaves", to.instance, notifiedAt, now) {
-		c.violationf("server %s got %s from %s %s after its answer that it is leaving", server, id, to.instance, now.Sub(notifiedAt))
+	if receivedAt, known := c.backpressure.leaving[to]; known && now.Sub(receivedAt) > leaveSignalBound && c.hasReceived("arrivals after an answer that leaves", to.instance, receivedAt, now) {
+		c.violationf("server %s got %s from %s %s after its answer that it is leaving", server, id, to.instance, now.Sub(receivedAt))
 	}
 	c.checkBackoff(to, id, now)
 	c.checkLimit(to, id, now)
@@ -211,12 +211,12 @@
 
 // checkBackoff checks that a server gets at most backoffSends requests of an instance during a backoff.
 func (c *checker) checkBackoff(to link, id string, now time.Time) {
-	b, known := c.notices.backoffs[to]
-	if !known || now.Sub(b.requestedAt) < noticeDelay || now.After(b.until) || !c.wasNotified("arrivals in a backoff", to.instance, b.requestedAt, now) {
+	b, known := c.backpressure.backoffs[to]
+	if !known || now.Sub(b.requestedAt) < signalDelay || now.After(b.until) || !c.hasReceived("arrivals in a backoff", to.instance, b.requestedAt, now) {
 		return
 	}
 	b.sends++
-	c.notices.backoffs[to] = b
+	c.backpressure.backoffs[to] = b
 	if b.sends > backoffSends {
 		c.violationf("server %s got %s from %s, request %d in a backoff that it asked for %s before", to.server, id, to.instance, b.sends, now.Sub(b.requestedAt))
 	}
@@ -224,14 +224,14 @@
 
 // checkLimit checks that a server gets no more than its limit from all instances together.
 func (c *checker) checkLimit(to link, id string, now time.Time) {
-	notifiedAt, known := c.notices.limited[to]
-	announcedAt := c.notices.namedAt[to.server]
-	if !known || announcedAt.IsZero() || now.Sub(notifiedAt) < noticeDelay || !c.wasNotified("arrivals at a limit", to.instance, notifiedAt, now) {
+	receivedAt, known := c.backpressure.limited[to]
+	announcedAt := c.backpressure.announcedAt[to.server]
+	if !known || announcedAt.IsZero() || now.Sub(receivedAt) < signalDelay || !c.hasReceived("arrivals at a limit", to.instance, receivedAt, now) {
 		return
 	}
-	arrivals := append(recent(c.notices.arrivals[to.server], limitWindow, now), now)
-	c.notices.arrivals[to.server] = arrivals
-	limit := c.notices.limits[to.server]
+	arrivals := append(recent(c.backpressure.arrivals[to.server], limitWindow, now), now)
+	c.backpressure.arrivals[to.server] = arrivals
+	limit := c.backpressure.limits[to.server]
 	if allowed := limitExcess*limit*limitWindow.Seconds() + limitSlack; now.Sub(announcedAt) > limitAfter && float64(len(arrivals)) > allowed {
 		c.violationf("server %s, which announced a limit of %v, got %s, request %d in %s", to.server, limit, id, len(arrivals), limitWindow)
 	}
@@ -241,11 +241,11 @@
 func (c *checker) RecordLimitLifted(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.notices.namedAt, server)
-	delete(c.notices.limits, server)
-	for to := range c.notices.limited {
+	delete(c.backpressure.announcedAt, server)
+	delete(c.backpressure.limits, server)
+	for to := range c.backpressure.limited {
 		if to.server == server {
-			delete(c.notices.limited, to)
+			delete(c.backpressure.limited, to)
 		}
 	}
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -78,7 +78,7 @@
 	crashes      map[string]int
 	crashLimitAt map[string]time.Time
 	lateSends    map[string]int
-	notices      notices
+	backpressure backpressureState
 	violations   []string
 	counts       map[string]int
 }
@@ -114,7 +114,7 @@
 		crashes:       make(map[string]int),
 		crashLimitAt:  make(map[string]time.Time),
 		lateSends:     make(map[string]int),
-		notices:       newNotices(),
+		backpressure:  newBackpressureState(),
 		counts:        make(map[string]int),
 	}
 }
@@ -139,7 +139,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nameOf[address] = instance
-	c.notices.startedAt[instance] = time.Now()
+	c.backpressure.startedAt[instance] = time.Now()
 }
 
 // isUnaffected reports whether no fault with a relevant target was in effect in a period, and counts how
@@ -260,7 +260,7 @@
 	c.checkRepeats(server, id, now)
 	sender := c.sender[id]
 	c.checkPoison(server, id, now)
-	c.checkNotices(server, id, now)
+	c.checkBackpressure(server, id, now)
 	left, leaves := c.leftAt[server]
 	if leaves && now.Sub(left) > leaveBound && c.mustHaveApplied("arrivals after leaving", sender, left, leaveBound, now) {
 		c.violationf("server %s got %s from %s %s after it left", server, id, sender, now.Sub(left))
@@ -303,7 +303,7 @@
 	}
 }
 
-// Ran checks that a request that was refused as not run never runs, and that no charge runs twice.
+// Started checks that a request that was refused as not run never runs, and that no charge runs twice.
 func (c *checker) Started(server, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -99,7 +99,7 @@
 			}
 		}},
 		{"work after an answer that leaves", ".*after its answer that it is leaving", func(c *checker) {
-			c.notices.leaving[link{"s", ""}] = time.Now().Add(-3 * time.Second)
+			c.backpressure.leaving[link{"s", ""}] = time.Now().Add(-3 * time.Second)
 			c.RecordSend("x", "127.0.0.1:1", false)
 			c.Arrived("s", "x")
 		}},
@@ -108,9 +108,9 @@
 				id := fmt.Sprint(i)
 				c.RecordSend(id, "127.0.0.1:1", false)
 				c.BackpressureSent("s", id, lovageyard.Backpressure{Backoff: time.Minute})
-				r := c.notices.backoffs[link{"s", ""}]
+				r := c.backpressure.backoffs[link{"s", ""}]
 				r.requestedAt = time.Now().Add(-2 * time.Second)
-				c.notices.backoffs[link{"s", ""}] = r
+				c.backpressure.backoffs[link{"s", ""}] = r
 				c.Arrived("s", id)
 			}
 		}},
@@ -120,8 +120,8 @@
 				c.RecordSend(id, "127.0.0.1:1", false)
 				c.BackpressureSent("s", id, lovageyard.Backpressure{Limited: true, Limit: 0.5})
 				c.RecordOutcome(outcome{ID: id, Status: 200, Complete: true, Matches: true})
-				c.notices.namedAt["s"] = time.Now().Add(-time.Minute)
-				c.notices.limited[link{"s", ""}] = time.Now().Add(-time.Minute)
+				c.backpressure.announcedAt["s"] = time.Now().Add(-time.Minute)
+				c.backpressure.limited[link{"s", ""}] = time.Now().Add(-time.Minute)
 				c.Arrived("s", id)
 			}
 		}},
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -38,7 +38,7 @@
 	switch f.Kind {
 	case pauseInstance, killInstance, cutFromStore, narrowStore:
 		return d.instances[f.Target%len(d.instances)].name
-	case storeDown, storeSilent, storeSlow, storeLosesAnswers, storeDelaysWrites, storeDropsHistory:
+	case storeDown, storeHangs, storeSlow, storeLosesAnswers, storeDelaysWrites, storeDropsHistory:
 		return affectsStore
 	}
 	return affectsServers
@@ -65,8 +65,8 @@
 	case restartInstance:
 		i.signal(syscall.SIGTERM)
 		return d.restart(i)
-	case storeDown, storeSilent, storeSlow, storeLosesAnswers, storeDelaysWrites:
-		d.store.SetFaults(storeTrouble(f.Kind))
+	case storeDown, storeHangs, storeSlow, storeLosesAnswers, storeDelaysWrites:
+		d.store.SetFaults(storeFaults(f.Kind))
 		time.Sleep(f.Duration)
 		d.store.SetFaults(fake.StoreFaults{})
 	case storeDropsHistory:
@@ -75,13 +75,13 @@
 		return d.addToxic(d.proxies[i.name], f, `{"name":"fault","type":"timeout","attributes":{"timeout":0}}`)
 	case delayServer:
 		return d.addToxic(d.pickServer(f.Target).proxy, f, `{"name":"fault","type":"latency","attributes":{"latency":150,"jitter":50}}`)
-	case silenceServer:
+	case dropServerAnswers:
 		return d.addToxic(d.pickServer(f.Target).proxy, f, `{"name":"fault","type":"timeout","stream":"downstream","attributes":{"timeout":0}}`)
-	case oneWayServer:
+	case dropServerRequests:
 		return d.addToxic(d.pickServer(f.Target).proxy, f, `{"name":"fault","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`)
 	case resetServer:
 		return d.resetConnections(d.pickServer(f.Target).proxy)
-	case truncateAnswers, loseAnswers, duplicateAnswers, failRequests, shedRequests:
+	case truncateAnswers, loseAnswers, duplicateAnswers, failRequests, rejectRequests:
 		b := d.pickServer(f.Target)
 		b.SetFaults(serverFaults(f.Kind))
 		time.Sleep(f.Duration)
@@ -142,11 +142,11 @@
 	return err
 }
 
-func storeTrouble(k kind) fake.StoreFaults {
+func storeFaults(k kind) fake.StoreFaults {
 	switch k {
 	case storeDown:
 		return fake.StoreFaults{Status: http.StatusServiceUnavailable}
-	case storeSilent:
+	case storeHangs:
 		return fake.StoreFaults{Hang: true}
 	case storeSlow:
 		return fake.StoreFaults{Delay: 250 * time.Millisecond}
@@ -165,7 +165,7 @@
 		return fake.Faults{DropConnection: share}
 	case duplicateAnswers:
 		return fake.Faults{ExtraResponse: share}
-	case shedRequests:
+	case rejectRequests:
 		return fake.Faults{Reject: share}
 	}
 	return fake.Faults{Fail: share}
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -13,30 +13,30 @@
 // Kinds of faults and planned operations. Each is applied to a randomly drawn target, which is an instance, a
 // server, a failure domain, or nothing for those of the store.
 const (
-	pauseInstance     kind = "pause-instance"
-	killInstance      kind = "kill-instance"
-	restartInstance   kind = "restart-instance"
-	storeDown         kind = "store-down"
-	storeSilent       kind = "store-silent"
-	storeSlow         kind = "store-slow"
-	storeLosesAnswers kind = "store-lost"
-	storeDelaysWrites kind = "store-late"
-	storeDropsHistory kind = "store-forgets"
-	cutFromStore      kind = "cut-from-store"
-	delayServer       kind = "delay-server"
-	silenceServer     kind = "silence-server"
-	oneWayServer      kind = "one-way-server"
-	resetServer       kind = "reset-server"
-	crashServer       kind = "crash-server"
-	truncateAnswers   kind = "spoil-answers"
-	loseAnswers       kind = "lose-answers"
-	duplicateAnswers  kind = "double-answers"
-	failRequests      kind = "fail-requests"
-	shedRequests      kind = "shed-requests"
-	replaceServer     kind = "replace-server"
-	drainDomain       kind = "drain-domain"
-	configure         kind = "configure"
-	burst             kind = "burst"
+	pauseInstance      kind = "pause-instance"
+	killInstance       kind = "kill-instance"
+	restartInstance    kind = "restart-instance"
+	storeDown          kind = "store-down"
+	storeHangs         kind = "store-silent"
+	storeSlow          kind = "store-slow"
+	storeLosesAnswers  kind = "store-lost"
+	storeDelaysWrites  kind = "store-late"
+	storeDropsHistory  kind = "store-forgets"
+	cutFromStore       kind = "cut-from-store"
+	delayServer        kind = "delay-server"
+	dropServerAnswers  kind = "silence-server"
+	dropServerRequests kind = "one-way-server"
+	resetServer        kind = "reset-server"
+	crashServer        kind = "crash-server"
+	truncateAnswers    kind = "spoil-answers"
+	loseAnswers        kind = "lose-answers"
+	duplicateAnswers   kind = "double-answers"
+	failRequests       kind = "fail-requests"
+	rejectRequests     kind = "shed-requests"
+	replaceServer      kind = "replace-server"
+	drainDomain        kind = "drain-domain"
+	configure          kind = "configure"
+	burst              kind = "burst"
 
 	restartServer      kind = "restart-server"
 	foreignEntry       kind = "foreign-entry"
@@ -50,9 +50,9 @@
 // faultKinds disturb the system; plannedKinds are routine operations, which must cause no errors.
 var (
 	faultKinds = []kind{
-		pauseInstance, killInstance, storeDown, storeSilent, storeSlow, storeLosesAnswers, storeDelaysWrites, storeDropsHistory, cutFromStore,
-		delayServer, silenceServer, oneWayServer, resetServer, crashServer, truncateAnswers, loseAnswers, duplicateAnswers,
-		failRequests, shedRequests, burst,
+		pauseInstance, killInstance, storeDown, storeHangs, storeSlow, storeLosesAnswers, storeDelaysWrites, storeDropsHistory, cutFromStore,
+		delayServer, dropServerAnswers, dropServerRequests, resetServer, crashServer, truncateAnswers, loseAnswers, duplicateAnswers,
+		failRequests, rejectRequests, burst,
 	}
 	plannedKinds = []kind{restartInstance, replaceServer, drainDomain, configure}
 	// furtherKinds are drawn separately, so that the plans of older seeds stay the same.
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -95,11 +95,11 @@
 	if !decode(w, r, &faults) {
 		return
 	}
-	trouble := fake.StoreFaults{Delay: faults.SlowBy.Std(), DropWriteResponses: faults.LoseAnswers}
+	storeFaults := fake.StoreFaults{Delay: faults.SlowBy.Std(), DropWriteResponses: faults.LoseAnswers}
 	if faults.Down {
-		trouble.Status = http.StatusServiceUnavailable
+		storeFaults.Status = http.StatusServiceUnavailable
 	}
-	p.store.SetFaults(trouble)
+	p.store.SetFaults(storeFaults)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listLag = faults.ListLag.Std()
