--- a/control/works.go
+++ b/control/works.go
@@ -13,99 +13,100 @@
 	"lovageyard.example/lovageyard/server"
 )
 
-// demandTime is the time constant of the measured demand.
-const demandTime = 5 * time.Second
+// demandTimeConstant is the time constant of the exponential moving average of the demand.
+const demandTimeConstant = 5 * time.Second
 
-// work is the control state of one class.
-type work struct {
-	class    lovageyard.Class
-	plan     lovageyard.ClassPlan
-	planSeen time.Time
-	stepper  *move.Stepper
-	forced   *move.Limiter
-	budget   *server.RetryBudget
-	counts   []*route.HomeCounter
-	rates    []*homeRate
-	measured time.Time
-	// rested is the plan step, and restedHomes the number of its homes, that were found applied in full.
-	rested      int64
-	restedHomes int
-	// homes is the placement in the snapshot, copied at the stepper's generation.
+// classState is the control state of one class.
+type classState struct {
+	class           lovageyard.Class
+	plan            lovageyard.ClassPlan
+	planSeenAt      time.Time
+	stepper         *move.Stepper
+	failoverLimiter *move.Limiter
+	budget          *server.RetryBudget
+	counts          []*route.HomeCounter
+	rates           []*homeRate
+	measuredAt      time.Time
+	// completedStep is the plan step, and completedHomes the number of its homes, last found to
+	// be applied completely.
+	completedStep  int64
+	completedHomes int
+	// homes is a copy of the applied placement at the stepper's generation, for the snapshot.
 	homes      []move.Home
 	generation uint64
 }
 
-// homeRate is the measured demand of one home failure domain, in requests a second.
+// homeRate is the measured demand of one home failure domain, in requests per second.
 type homeRate struct {
 	failureDomain string
-	last          [lovageyard.Buckets]uint64
+	lastCounts    [lovageyard.Buckets]uint64
 	rates         [lovageyard.Buckets]float64
 }
 
-// setWorks takes in the classes and plans in force.
-func (c *Control) setWorks() {
+// updateClasses applies the current classes and plans.
+func (c *Control) updateClasses() {
 	now := c.settings.Timer.Now()
 	classes := c.config.Classes()
 	for _, k := range classes {
-		c.setWork(k)
+		c.updateClass(k)
 	}
-	for name := range c.works {
+	for name := range c.classes {
 		if c.index.ByName(name) == nil {
-			delete(c.works, name)
+			delete(c.classes, name)
 		}
 	}
 	for _, p := range c.config.Plans() {
-		w := c.works[p.Class]
-		if w == nil {
+		cs := c.classes[p.Class]
+		if cs == nil {
 			continue
 		}
-		if w.planSeen.IsZero() {
-			w.planSeen = now
+		if cs.planSeenAt.IsZero() {
+			cs.planSeenAt = now
 		}
-		w.plan = p
-		w.stepper.SetPlan(p)
-		w.addHomes(p)
+		cs.plan = p
+		cs.stepper.SetPlan(p)
+		cs.addHomes(p)
 	}
 	c.setGrants(now)
 }
 
-func (c *Control) setWork(k lovageyard.Class) {
-	w := c.works[k.Name]
-	if w == nil {
-		w = &work{
-			stepper:  move.NewStepper(k.Target),
-			budget:   server.NewRetryBudget(),
-			measured: c.settings.Timer.Now(),
+func (c *Control) updateClass(k lovageyard.Class) {
+	cs := c.classes[k.Name]
+	if cs == nil {
+		cs = &classState{
+			stepper:    move.NewStepper(k.Target),
+			budget:     server.NewRetryBudget(),
+			measuredAt: c.settings.Timer.Now(),
 		}
-		w.addHome(c.self.FailureDomain)
-		c.works[k.Name] = w
+		cs.addHome(c.self.FailureDomain)
+		c.classes[k.Name] = cs
 	}
-	w.class = k
-	w.stepper.SetTarget(k.Target)
+	cs.class = k
+	cs.stepper.SetTarget(k.Target)
 	extra := k.Target.EffectiveFailoverCap() - k.Target.Cap
 	switch {
 	case extra <= 0:
-		w.forced = w.stepper.Limiter()
-	case w.forced == nil || w.forced == w.stepper.Limiter():
-		w.forced = move.NewLimiter(extra, 0)
+		cs.failoverLimiter = cs.stepper.Limiter()
+	case cs.failoverLimiter == nil || cs.failoverLimiter == cs.stepper.Limiter():
+		cs.failoverLimiter = move.NewLimiter(extra, 0)
 	}
 }
 
-func (w *work) addHomes(p lovageyard.ClassPlan) {
+func (cs *classState) addHomes(p lovageyard.ClassPlan) {
 	for _, h := range p.Homes {
-		w.addHome(h.FailureDomain)
+		cs.addHome(h.FailureDomain)
 	}
 }
 
-func (w *work) addHome(failureDomain string) {
-	known := slices.ContainsFunc(w.counts, func(c *route.HomeCounter) bool {
+func (cs *classState) addHome(failureDomain string) {
+	known := slices.ContainsFunc(cs.counts, func(c *route.HomeCounter) bool {
 		return c.FailureDomain == failureDomain
 	})
 	if known {
 		return
 	}
-	w.counts = append(slices.Clone(w.counts), &route.HomeCounter{FailureDomain: failureDomain})
-	w.rates = append(w.rates, &homeRate{failureDomain: failureDomain})
+	cs.counts = append(slices.Clone(cs.counts), &route.HomeCounter{FailureDomain: failureDomain})
+	cs.rates = append(cs.rates, &homeRate{failureDomain: failureDomain})
 }
 
 func (c *Control) setGrants(now time.Time) {
@@ -118,47 +119,47 @@
 	}
 }
 
-// measure brings the measured demand of all classes up to date.
+// measure updates the measured demand of all classes.
 func (c *Control) measure(now time.Time) {
-	for _, w := range c.works {
-		w.measure(now)
-		w.setGates()
+	for _, cs := range c.classes {
+		cs.measure(now)
+		cs.setLimiters()
 	}
 }
 
-// setGates tells the gates the present demand, also while nothing moves: failures may
-// need them at any time.
-func (w *work) setGates() {
-	target := w.class.Target
-	total := w.demand().Total
-	w.stepper.Limiter().SetCap(target.Cap, total)
-	if w.forced != w.stepper.Limiter() {
-		w.forced.SetCap(target.EffectiveFailoverCap()-target.Cap, total)
+// setLimiters updates the limiters with the current demand. It does so even when there is no
+// move, because a failover may use them at any time.
+func (cs *classState) setLimiters() {
+	target := cs.class.Target
+	total := cs.demand().Total
+	cs.stepper.Limiter().SetCap(target.Cap, total)
+	if cs.failoverLimiter != cs.stepper.Limiter() {
+		cs.failoverLimiter.SetCap(target.EffectiveFailoverCap()-target.Cap, total)
 	}
 }
 
-func (w *work) measure(now time.Time) {
-	passed := now.Sub(w.measured)
+func (cs *classState) measure(now time.Time) {
+	passed := now.Sub(cs.measuredAt)
 	if passed <= 0 {
 		return
 	}
-	w.measured = now
-	weight := 1 - math.Exp(-passed.Seconds()/demandTime.Seconds())
-	for i, r := range w.rates {
+	cs.measuredAt = now
+	weight := 1 - math.Exp(-passed.Seconds()/demandTimeConstant.Seconds())
+	for i, r := range cs.rates {
 		for b := range r.rates {
-			count := w.counts[i].Buckets[b].Load()
-			rate := float64(count-r.last[b]) / passed.Seconds()
-			r.last[b] = count
+			count := cs.counts[i].Buckets[b].Load()
+			rate := float64(count-r.lastCounts[b]) / passed.Seconds()
+			r.lastCounts[b] = count
 			r.rates[b] += weight * (rate - r.rates[b])
 		}
 	}
 }
 
-// demand returns the demand of one interval of the class.
-func (w *work) demand() move.Demand {
+// demand returns the number of requests expected in one interval of the class's target.
+func (cs *classState) demand() move.Demand {
 	var d move.Demand
-	seconds := w.class.Target.Interval.Std().Seconds()
-	for _, r := range w.rates {
+	seconds := cs.class.Target.Interval.Std().Seconds()
+	for _, r := range cs.rates {
 		home := move.HomeDemand{FailureDomain: r.failureDomain, Buckets: make([]float64, lovageyard.Buckets)}
 		for b, rate := range r.rates {
 			home.Buckets[b] = rate * seconds
@@ -169,80 +170,81 @@
 	return d
 }
 
-// stepWorks lets each class take its next step, if one is due.
-func (c *Control) stepWorks(now time.Time) {
+// stepClasses takes the next step of each class for which one is due.
+func (c *Control) stepClasses(now time.Time) {
 	var neighbours []instance.Member
-	for name, w := range c.works {
-		if w.plan.Step == 0 || w.stepper.Initialized() && w.idle(now) {
+	for name, cs := range c.classes {
+		if cs.plan.Step == 0 || cs.stepper.Initialized() && cs.idle(now) {
 			continue
 		}
 		if neighbours == nil {
 			neighbours = c.members.Neighbours()
 		}
-		c.adopt(w, neighbours, now)
-		d := w.demand()
-		if w.stepper.Tick(now, d, c.level(name, w.begun(), neighbours)) {
+		c.initPlacement(cs, neighbours, now)
+		d := cs.demand()
+		if cs.stepper.Tick(now, d, c.neighboursBegan(name, cs.currentStep(), neighbours)) {
 			c.dirty = true
-			c.recordStep(w, d)
+			c.recordStep(cs, d)
 		}
 	}
 }
 
-// idle says whether a class's stepper has nothing to do: no interval is over, or the
-// placement has been in force since it was last asked.
-func (w *work) idle(now time.Time) bool {
-	if !w.stepper.Due(now) {
+// idle reports whether a class's stepper has nothing to do: its interval is not over, or an
+// earlier call found the current plan applied completely.
+func (cs *classState) idle(now time.Time) bool {
+	if !cs.stepper.Due(now) {
 		return true
 	}
-	if w.rested == w.plan.Step && w.restedHomes == len(w.plan.Homes) {
+	if cs.completedStep == cs.plan.Step && cs.completedHomes == len(cs.plan.Homes) {
 		return true
 	}
-	if settled, _ := w.stepper.Progress(move.Demand{}); settled == w.plan.Step && w.stepper.Idle() {
-		w.rested = w.plan.Step
-		w.restedHomes = len(w.plan.Homes)
+	if completed, _ := cs.stepper.Progress(move.Demand{}); completed == cs.plan.Step && cs.stepper.Idle() {
+		cs.completedStep = cs.plan.Step
+		cs.completedHomes = len(cs.plan.Homes)
 	}
 	return false
 }
 
-// recordStep writes the decision on a step of a move to the log.
-func (c *Control) recordStep(w *work, d move.Demand) {
-	step, left := w.stepper.Progress(d)
+// recordStep records a step of a move as a decision.
+func (c *Control) recordStep(cs *classState, d move.Demand) {
+	step, left := cs.stepper.Progress(d)
 	c.settings.Recorder.Record(lovageyard.Decision{
 		Kind:     "move",
-		Class:    w.class.Name,
+		Class:    cs.class.Name,
 		PlanStep: step,
 		Share:    left,
 		Reason:   "step at this instance",
 	})
 }
 
-// adopt gives a class its first placement when no neighbour can tell what is applied.
-func (c *Control) adopt(w *work, neighbours []instance.Member, now time.Time) {
-	if w.stepper.Initialized() {
+// initPlacement sets a class's first placement from the plan when no neighbour has reported what
+// is applied: at the plan's first step, or after a timeout.
+func (c *Control) initPlacement(cs *classState, neighbours []instance.Member, now time.Time) {
+	if cs.stepper.Initialized() {
 		return
 	}
-	alone := len(neighbours) == 0 && now.Sub(w.planSeen) >= adoptPatience/3
-	if w.plan.Step == 1 || alone || now.Sub(w.planSeen) >= adoptPatience {
-		w.stepper.Initialize(move.FromPlan(w.plan), now)
+	alone := len(neighbours) == 0 && now.Sub(cs.planSeenAt) >= initTimeout/3
+	if cs.plan.Step == 1 || alone || now.Sub(cs.planSeenAt) >= initTimeout {
+		cs.stepper.Initialize(move.FromPlan(cs.plan), now)
 		c.dirty = true
 	}
 }
 
-// begun returns the plan step that the class moves to, or 0 before the first placement.
-func (w *work) begun() int64 {
-	if !w.stepper.Initialized() {
+// currentStep returns the plan step that the class is moving to, or 0 before its first placement.
+func (cs *classState) currentStep() int64 {
+	if !cs.stepper.Initialized() {
 		return 0
 	}
-	return w.plan.Step
+	return cs.plan.Step
 }
 
-// level says whether all neighbours have begun a plan step. One that tells no step is at
-// rest with the plan of its configuration version.
-func (c *Control) level(class string, step int64, neighbours []instance.Member) bool {
+// neighboursBegan reports whether all neighbours have begun a plan step. A neighbour that reports
+// no step has completed the plan of its configuration version.
+func (c *Control) neighboursBegan(class string, step int64, neighbours []instance.Member) bool {
 	version := c.planVersion(class)
 	for _, m := range neighbours {
-		begun, told := stepOf(m, class)
-		if told && begun.Started > 0 && begun.Started < step || !told && m.Version < version {
+		begun, found := reportedStep(m, class)
+		if found && begun.Started > 0 && begun.Started < step || !found && m.Version < version {
 			return false
 		}
 	}
@@ -254,8 +256,8 @@
 	return row.Version
 }
 
-// stepOf returns the step that a member tells of a class, and whether it tells one.
-func stepOf(m instance.Member, class string) (instance.Step, bool) {
+// reportedStep returns the step that a member reports for a class, and whether it reports one.
+func reportedStep(m instance.Member, class string) (instance.Step, bool) {
 	for _, s := range m.Steps {
 		if s.Class == class {
 			return s, true
@@ -264,19 +266,20 @@
 	return instance.Step{}, false
 }
 
-// steps returns how far this instance is with each class's plan; a class at rest is left out.
-func (c *Control) steps() []instance.Step {
+// ownSteps returns this instance's progress with each class's plan. Classes that have completed
+// their plan are omitted.
+func (c *Control) ownSteps() []instance.Step {
 	var steps []instance.Step
 	for _, k := range c.index.All() {
-		w := c.works[k.Name]
-		if w == nil || w.plan.Step == 0 {
+		cs := c.classes[k.Name]
+		if cs == nil || cs.plan.Step == 0 {
 			continue
 		}
-		settled, left := w.stepper.Progress(w.demand())
-		if settled == w.plan.Step && w.stepper.Idle() {
+		completed, left := cs.stepper.Progress(cs.demand())
+		if completed == cs.plan.Step && cs.stepper.Idle() {
 			continue
 		}
-		steps = append(steps, instance.Step{Class: k.Name, Started: w.begun(), Completed: settled, Remaining: left})
+		steps = append(steps, instance.Step{Class: k.Name, Started: cs.currentStep(), Completed: completed, Remaining: left})
 	}
 	return steps
 }
