--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -44,17 +44,17 @@
 
 // daemon is a running entry instance.
 type daemon struct {
-	options   options
-	logger    *logrus.Logger
-	timer     lovageyard.Timer
-	control   *control.Control
-	link      *link.Transport
-	platform  *platform.Store
-	peers     *peer.Client
-	charges   *charge.Store
-	callers   *http.Server
-	peering   *http.Server
-	operators *http.Server
+	options        options
+	logger         *logrus.Logger
+	timer          lovageyard.Timer
+	control        *control.Control
+	link           *link.Transport
+	platform       *platform.Store
+	peers          *peer.Client
+	charges        *charge.Store
+	callerServer   *http.Server
+	peerServer     *http.Server
+	operatorServer *http.Server
 }
 
 // listeners are the three sockets of an entry instance.
@@ -116,9 +116,9 @@
 	}
 	d := assemble(o, self, logger, clock)
 	d.control.Start()
-	d.serve(d.callers, l.callers)
-	d.serve(d.peering, l.peers)
-	d.serve(d.operators, l.operators)
+	d.serve(d.callerServer, l.callers)
+	d.serve(d.peerServer, l.peers)
+	d.serve(d.operatorServer, l.operators)
 	logger.WithFields(logrus.Fields{
 		"instance":         self.Name,
 		"caller-address":   self.CallerAddress,
@@ -169,15 +169,15 @@
 		Metrics:  registry,
 		Self:     self,
 	})
-	d.callers = newServer(handler)
-	d.peering = newServer(wire.NewPeersServer(d.control))
-	d.operators = newServer(operator.NewHandler(d.control, d.platform, clock, registry))
+	d.callerServer = newServer(handler)
+	d.peerServer = newServer(wire.NewPeersServer(d.control))
+	d.operatorServer = newServer(operator.NewHandler(d.control, d.platform, clock, registry))
 	return d
 }
 
 // serveUntil closes idle connections that have become too old, until the daemon is to leave.
 func (d *daemon) serveUntil(leave <-chan struct{}) {
-	watch := d.timer.Subscribe(expireEvery)
+	watch := d.timer.Subscribe(expirePeriod)
 	defer watch.Close()
 	for {
 		select {
@@ -222,8 +222,8 @@
 	err := d.drainCallers(hurry)
 	bound, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = d.operators.Shutdown(bound)
-	_ = d.peering.Shutdown(bound)
+	_ = d.operatorServer.Shutdown(bound)
+	_ = d.peerServer.Shutdown(bound)
 	d.charges.Close()
 	d.control.Close()
 	d.link.Close()
@@ -237,9 +237,9 @@
 func (d *daemon) drainCallers(hurry context.Context) error {
 	bound, cancel := context.WithTimeout(hurry, d.longestDeadline())
 	defer cancel()
-	err := d.callers.Shutdown(bound)
+	err := d.callerServer.Shutdown(bound)
 	if hurry.Err() != nil {
-		d.callers.Close()
+		d.callerServer.Close()
 		return nil
 	}
 	return errors.Wrap(err, "requests in flight")
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -35,8 +35,8 @@
 // Limits of an edge instance.
 const (
 	// memoryShare is the part of the memory limit that the heap may grow to.
-	memoryShare = 0.7
-	bytesPerMB  = 1 << 20
+	heapShare   = 0.7
+	bytesPerMiB = 1 << 20
 	// edgeHeaderTimeout bounds how long a caller may take over a request's headers.
 	edgeHeaderTimeout = 10 * time.Second
 	// edgeIdleTimeout is longer than callers keep idle connections in use.
@@ -44,29 +44,29 @@
 	// edgeMaxHeaderBytes is what callers' headers may take; net/http adds 4 KiB.
 	edgeMaxHeaderBytes = 16 << 10
 	// expireEvery is the period at which idle connections are looked through.
-	expireEvery = time.Second
+	expirePeriod = time.Second
 	// Parts of the time to leave: requests are taken until refuseAfter of it has passed,
 	// and connections are closed by force after closeAfter of it.
-	refuseAfter = 0.5
-	closeAfter  = 0.93
+	refuseAfterShare = 0.5
+	closeAfterShare  = 0.93
 )
 
 // edge is a running entry instance on a platform with a feed.
 type edge struct {
-	options  edgeOptions
-	logger   *logrus.Logger
-	sink     *decision.Sink
-	timer    lovageyard.Timer
-	meters   *meter.Set
-	store    *platform.Store
-	peers    *peer.Client
-	link     *link.Transport
-	dispatch *dispatch.Table
-	watch    *quarantine.Monitor
-	control  *fleet.Control
-	limiter  *quota.Limiter
-	callers  *http.Server
-	others   []*http.Server
+	options      edgeOptions
+	logger       *logrus.Logger
+	sink         *decision.Sink
+	timer        lovageyard.Timer
+	meters       *meter.Set
+	store        *platform.Store
+	peers        *peer.Client
+	link         *link.Transport
+	dispatch     *dispatch.Table
+	quarantine   *quarantine.Monitor
+	control      *fleet.Control
+	limiter      *quota.Limiter
+	callerServer *http.Server
+	otherServers []*http.Server
 	// version is the configuration's version at the last look, in force since versionSince.
 	version      uint64
 	versionSince time.Time
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	watch := e.timer.Subscribe(expireEvery)
+	watch := e.timer.Subscribe(expirePeriod)
 	defer watch.Close()
 	file := newSettingsFile(os.Getenv(platform.SettingsVariable))
 	for {
@@ -93,7 +93,7 @@
 			e.reload("signal")
 		case now := <-watch.C():
 			e.link.CloseExpired(now)
-			e.measure(now)
+			e.updateGauges(now)
 			if file.changed() {
 				e.reload("file changed")
 			}
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if o.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(o.MemoryMB) * bytesPerMB))
+		debug.SetMemoryLimit(int64(heapShare * float64(o.MemoryMB) * bytesPerMiB))
 	}
 	sockets, err := o.listen()
 	if err != nil {
@@ -126,7 +126,7 @@
 	}
 	sink := decision.NewSink(os.Stdout)
 	// Hooks run in this order: the name is added before the line is made.
-	logger.AddHook(nameHook{instance: o.Instance})
+	logger.AddHook(instanceHook{instance: o.Instance})
 	sink.Attach(logger)
 	e := &edge{options: o, logger: logger, sink: sink, timer: clock, meters: meter.NewSet()}
 	e.assemble(self)
@@ -152,13 +152,13 @@
 		Self:          o.Instance,
 		FailureDomain: o.FailureDomain,
 		Region:        o.Region,
-		DemandShare:   o.demand(),
+		DemandShare:   o.localDemandShare(),
 		Bounds:        o.bounds(),
 		Seed:          uint64(self.Incarnation),
 	})
 	notices := &entry.NoticeObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
 	e.link = link.New(platform.Headers{}, e.timer, notices)
-	e.watch = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
+	e.quarantine = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
 	e.control = fleet.New(fleet.Settings{
 		Self:       self,
 		Feed:       e.store,
@@ -166,7 +166,7 @@
 		Decoder:    platform.Decoder{Regions: o.Regions},
 		Peers:      e.peers,
 		Observer:   e.dispatch,
-		Quarantine: e.watch,
+		Quarantine: e.quarantine,
 		Timer:      e.timer,
 		Logger:     e.logger,
 		Metrics:    e.meters,
@@ -229,19 +229,19 @@
 // serveAll begins to serve on all sockets.
 func (e *edge) serveAll(s *edgeSockets) {
 	o := e.options
-	e.callers = edgeServer(entry.NewHandler(entry.Settings{
+	e.callerServer = edgeServer(entry.NewHandler(entry.Settings{
 		Source:     e.control,
 		Codec:      platform.Headers{},
 		Sender:     e.link,
 		Dispatch:   e.dispatch,
-		Quarantine: e.watch,
+		Quarantine: e.quarantine,
 		Quota:      e.limiter,
 		Timer:      e.timer,
 		Logger:     e.logger,
 		Metrics:    e.meters,
-		Limits:     o.knowledgeLimits(),
+		Limits:     o.ageLimits(),
 	}))
-	e.serve(s.callers, e.callers)
+	e.serve(s.callers, e.callerServer)
 	e.serveOther(s.ready, &entry.Readiness{Source: e.control})
 	e.serveOther(s.lookUps, &entry.Directory{Source: e.control, KeepFor: min(o.KeepFor, o.KeepForMax)})
 	e.serveOther(s.peers, e.peerServices())
@@ -261,7 +261,7 @@
 
 func (e *edge) serveOther(l net.Listener, h http.Handler) {
 	server := edgeServer(h)
-	e.others = append(e.others, server)
+	e.otherServers = append(e.otherServers, server)
 	e.serve(l, server)
 }
 
@@ -284,7 +284,7 @@
 }
 
 // measure updates the gauges.
-func (e *edge) measure(now time.Time) {
+func (e *edge) updateGauges(now time.Time) {
 	view := e.control.View()
 	if version := view.Version(); version != e.version {
 		e.version = version
@@ -301,7 +301,7 @@
 	e.meters.Update(meter.InFlight, int64(census.InFlight))
 	e.meters.Update(meter.ConfigurationVersion, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
-	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfirmationAge()))
+	e.meters.Update(meter.ConfirmationAge, ageMillis(e.control.ConfirmationAge()))
 	e.meters.Update(meter.AccountsNearLimit, int64(e.limiter.MeteredCount()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
@@ -312,7 +312,7 @@
 }
 
 // knowledgeAge returns an age in milliseconds, or -1 if it is not known.
-func knowledgeAge(age time.Duration) int64 {
+func ageMillis(age time.Duration) int64 {
 	if age == freshness.Unknown {
 		return -1
 	}
@@ -330,20 +330,20 @@
 func (e *edge) leave() {
 	e.logger.Info("leaving")
 	began := e.timer.Now()
-	endsAt := began.Add(time.Duration(closeAfter * float64(e.options.LeaveWithin)))
+	endsAt := began.Add(time.Duration(closeAfterShare * float64(e.options.LeaveWithin)))
 	e.control.Leave(endsAt)
-	e.wait(time.Duration(refuseAfter * float64(e.options.LeaveWithin)))
+	e.wait(time.Duration(refuseAfterShare * float64(e.options.LeaveWithin)))
 	e.control.RefuseRequests()
 	bound, cancel := context.WithTimeout(context.Background(), endsAt.Sub(e.timer.Now()))
 	defer cancel()
-	if err := e.callers.Shutdown(bound); err != nil {
+	if err := e.callerServer.Shutdown(bound); err != nil {
 		e.logger.WithError(err).Warn("requests were still in flight")
-		e.callers.Close()
+		e.callerServer.Close()
 	}
 	e.limiter.Close()
 	e.control.Close()
-	e.watch.Close()
-	for _, s := range e.others {
+	e.quarantine.Close()
+	for _, s := range e.otherServers {
 		s.Close()
 	}
 	e.link.Close()
--- a/lovageyardd/edge_options.go
+++ b/lovageyardd/edge_options.go
@@ -121,19 +121,19 @@
 
 // knowledgeShare is the part of operators' bounds on the age of a configuration that is used: requests are read
 // and judged within the rest.
-const knowledgeShare = 0.9
+const ageLimitShare = 0.9
 
 // knowledgeLimits returns how old the knowledge may be that requests are judged by.
-func (o *edgeOptions) knowledgeLimits() entry.AgeLimits {
+func (o *edgeOptions) ageLimits() entry.AgeLimits {
 	return entry.AgeLimits{
-		Serve:  time.Duration(knowledgeShare * float64(o.RevokeWithin)),
-		Reject: time.Duration(knowledgeShare * float64(o.ApplyWithin)),
+		Serve:  time.Duration(ageLimitShare * float64(o.RevokeWithin)),
+		Reject: time.Duration(ageLimitShare * float64(o.ApplyWithin)),
 	}
 }
 
 // demand returns the share of the failure domains that are in the own region, as an
 // estimate of the share of requests that come from it.
-func (o *edgeOptions) demand() float64 {
+func (o *edgeOptions) localDemandShare() float64 {
 	own := 0
 	for _, region := range o.Regions {
 		if region == o.Region {
--- a/lovageyardd/edge_test.go
+++ b/lovageyardd/edge_test.go
@@ -15,7 +15,7 @@
 )
 
 // values are what the platform fills the template of the settings with.
-var values = map[string]string{
+var templateValues = map[string]string{
 	"Node": "front-1", "Zone": "north-1", "Region": "north", "Ip": "10.0.0.1", "InternalPorts.0": "7200",
 	"Listen.Front": "10.0.0.1:1", "Listen.Ready": "10.0.0.1:2", "Listen.Directory": "10.0.0.1:3", "Listen.Control": "10.0.0.1:4",
 	"Platform.Addr": "10.9.0.1:5", "Seeds": "10.0.0.1:4,10.0.0.2:4", "Limits.RamMb": "284",
@@ -51,7 +51,7 @@
 		}
 		return parts[3]
 	})
-	for _, set := range []map[string]string{values, further} {
+	for _, set := range []map[string]string{templateValues, further} {
 		for name, value := range set {
 			filled = strings.ReplaceAll(filled, "{{"+name+"}}", value)
 		}
@@ -60,7 +60,7 @@
 	return filled
 }
 
-func readEdge(c *qt.C, text string) (edgeOptions, error) {
+func parseEdgeOptions(c *qt.C, text string) (edgeOptions, error) {
 	path := filepath.Join(c.TempDir(), "settings.json")
 	c.Assert(os.WriteFile(path, []byte(text), 0o600), qt.IsNil)
 	file, err := settings.File(path)
@@ -72,13 +72,13 @@
 
 func TestDeployedSettingsAreValid(t *testing.T) {
 	c := qt.New(t)
-	o, err := readEdge(c, render(c))
+	o, err := parseEdgeOptions(c, render(c))
 	c.Assert(err, qt.IsNil)
 	c.Assert(o.Instance, qt.Equals, "front-1")
 	c.Assert(o.MetricsAddress, qt.Equals, "10.0.0.1:7200")
 	c.Assert(o.LeaveWithin, qt.Equals, 6*time.Second)
 	c.Assert(o.PeerAddresses, qt.HasLen, 2)
-	c.Assert(o.demand(), qt.Equals, 0.5)
+	c.Assert(o.localDemandShare(), qt.Equals, 0.5)
 	bounds := o.bounds()
 	c.Assert(bounds.Retries.Slack, qt.Equals, 64.0)
 	c.Assert(bounds.Cold.Excess, qt.Equals, 1.5)
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			line := regexp.MustCompile(`"` + name + `": "[^"]*"`)
-			_, err := readEdge(c, line.ReplaceAllString(render(c), `"`+name+`": "`+value+`"`))
+			_, err := parseEdgeOptions(c, line.ReplaceAllString(render(c), `"`+name+`": "`+value+`"`))
 			c.Assert(err, qt.ErrorMatches, ".*--"+name+".*")
 		})
 	}
@@ -118,18 +118,18 @@
 // the age of what it knows.
 func TestDeployedSettingsOfAccounts(t *testing.T) {
 	c := qt.New(t)
-	o, err := readEdge(c, renderWith(c, accountValues))
+	o, err := parseEdgeOptions(c, renderWith(c, accountValues))
 	c.Assert(err, qt.IsNil)
 	c.Assert(o.Check(), qt.IsNil)
 	c.Assert(o.RevokeWithin, qt.Equals, 5*time.Second)
-	c.Assert(o.knowledgeLimits().Serve, qt.Equals, 4500*time.Millisecond)
-	c.Assert(o.knowledgeLimits().Reject, qt.Equals, 2700*time.Millisecond)
+	c.Assert(o.ageLimits().Serve, qt.Equals, 4500*time.Millisecond)
+	c.Assert(o.ageLimits().Reject, qt.Equals, 2700*time.Millisecond)
 	c.Assert(o.QuotaWindow, qt.Equals, 4*time.Second)
 	c.Assert(o.QuotaExcess, qt.Equals, 0.2)
 	c.Assert(o.QuotaSlack, qt.Equals, 30.0)
-	o, err = readEdge(c, render(c))
+	o, err = parseEdgeOptions(c, render(c))
 	c.Assert(err, qt.IsNil)
 	c.Assert(o.Check(), qt.IsNil)
-	c.Assert(o.knowledgeLimits().Serve, qt.Equals, time.Duration(0))
+	c.Assert(o.ageLimits().Serve, qt.Equals, time.Duration(0))
 	c.Assert(o.QuotaSlack, qt.Equals, 0.0)
 }
--- a/lovageyardd/hook.go
+++ b/lovageyardd/hook.go
@@ -4,17 +4,17 @@
 
 // nameHook adds the instance's name to each log line, so that lines of several instances
 // can be read together.
-type nameHook struct {
+type instanceHook struct {
 	instance string
 }
 
 // Levels returns all levels.
-func (nameHook) Levels() []logrus.Level {
+func (instanceHook) Levels() []logrus.Level {
 	return logrus.AllLevels
 }
 
 // Fire adds the name.
-func (h nameHook) Fire(e *logrus.Entry) error {
+func (h instanceHook) Fire(e *logrus.Entry) error {
 	e.Data["instance"] = h.instance
 	return nil
 }
--- a/meter/doc.go
+++ b/meter/doc.go
@@ -1,3 +1,4 @@
-// Package meter names every metric of an entry instance on a platform with a feed, keeps
-// their values in a go-metrics registry, and bounds their number whatever names arrive.
+// Package meter defines the metrics of an entry instance in edge mode and keeps their values in
+// a go-metrics registry. It limits the number of label combinations of each metric, because some
+// labels come from configured names. It also generates the reference page of the metrics.
 package meter
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -9,7 +9,7 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// Kind says how a metric is read.
+// Kind is the type of a metric.
 type Kind string
 
 // The kinds of metrics.
@@ -23,9 +23,9 @@
 type Metric struct {
 	Name string
 	Kind Kind
-	// Labels are what the parts behind the name stand for.
+	// Labels names the labels, whose values follow the metric's name, separated by dots.
 	Labels []string
-	// Help says what is counted, with its unit.
+	// Help describes the metric and its unit, for the reference page.
 	Help string
 }
 
@@ -51,7 +51,7 @@
 	ConnectionsOpened    = Metric{"connections-opened", Gauge, nil, "connections to servers opened since the start"}
 	ConfigurationVersion = Metric{"configuration-version", Gauge, nil, "version of the configuration in force"}
 	ConfigurationAge     = Metric{"configuration-age", Gauge, nil, "milliseconds since the configuration came into force"}
-	KnowledgeAge         = Metric{"knowledge-age", Gauge, nil, "milliseconds since the configuration in force was known to be the newest, -1 if it never was"}
+	ConfirmationAge      = Metric{"knowledge-age", Gauge, nil, "milliseconds since the configuration in force was known to be the newest, -1 if it never was"}
 	LimitReports         = Metric{"limit-reports", Counter, []string{"outcome"}, "reports on accounts' limits to the instances that own them, by outcome: ok or failed"}
 	AccountsNearLimit    = Metric{"limits-tight", Gauge, nil, "client accounts that are near their limits, by the word of the instances that own their limits"}
 	InstancesLive        = Metric{"instances-live", Gauge, nil, "entry instances that are believed to take work"}
@@ -69,11 +69,11 @@
 	LogDroppedOther      = Metric{"log-dropped-other", Gauge, nil, "other log lines dropped since the start"}
 )
 
-// All lists the metrics in the order of the page.
+// All returns the metrics in the order of the reference page.
 func All() []Metric {
 	return []Metric{
 		Answers, Refusals, Latency, ExpectedWait, Sends, Retries, RetriesDenied, ColdSends, ShareElsewhere, InFlight,
-		ServersKnown, ServersSuspect, ServersLimited, ServersLeaving, ServersBackingOff, ServersCrashed, RequestsQuarantined, ConnectionsOpened, ConfigurationVersion, ConfigurationAge, KnowledgeAge,
+		ServersKnown, ServersSuspect, ServersLimited, ServersLeaving, ServersBackingOff, ServersCrashed, RequestsQuarantined, ConnectionsOpened, ConfigurationVersion, ConfigurationAge, ConfirmationAge,
 		LimitReports, AccountsNearLimit, InstancesLive,
 		ChangeAge, PlatformReads, PlatformFailures, RowsSkipped, PlatformWrites, PeerExchanges, PeerFailures,
 		PeerRows, PeerRowsKnown, PeerBytes,
@@ -82,17 +82,17 @@
 }
 
 const (
-	// maxSeries bounds the values of one metric: a large configuration has some tens of
-	// services, with a dozen statuses or failure domains each.
+	// maxSeries limits the label combinations of one metric. A large configuration has some tens
+	// of services, with a dozen statuses or failure domains each.
 	maxSeries = 500
-	// others stands for the labels that came after that.
-	others = "others"
-	// Size and decay of the sample behind a histogram, as go-metrics suggests.
+	// otherSeries replaces the labels of further combinations.
+	otherSeries = "others"
+	// Size and decay factor of the sample of a histogram, as recommended by go-metrics.
 	sampleSize  = 1028
 	sampleDecay = 0.015
 )
 
-// Set keeps the values of all metrics; its methods may be called from several goroutines.
+// Set holds the values of all metrics. It is safe for concurrent use.
 type Set struct {
 	registry metrics.Registry
 
@@ -100,29 +100,29 @@
 	series map[string]map[string]bool
 }
 
-// NewSet returns a set without values.
+// NewSet returns an empty set; a value exists from its first update on.
 func NewSet() *Set {
 	return &Set{registry: metrics.NewRegistry(), series: make(map[string]map[string]bool)}
 }
 
-// Count adds one to a counter.
+// Count increments a counter by one.
 func (s *Set) Count(m Metric, labels ...string) {
-	metrics.GetOrRegisterCounter(s.name(m, labels), s.registry).Inc(1)
+	metrics.GetOrRegisterCounter(s.seriesName(m, labels), s.registry).Inc(1)
 }
 
-// Add adds a number to a counter.
+// Add increments a counter by n.
 func (s *Set) Add(m Metric, n int, labels ...string) {
-	metrics.GetOrRegisterCounter(s.name(m, labels), s.registry).Inc(int64(n))
+	metrics.GetOrRegisterCounter(s.seriesName(m, labels), s.registry).Inc(int64(n))
 }
 
-// Update sets a gauge.
+// Update sets the value of a gauge.
 func (s *Set) Update(m Metric, value int64, labels ...string) {
-	metrics.GetOrRegisterGauge(s.name(m, labels), s.registry).Update(value)
+	metrics.GetOrRegisterGauge(s.seriesName(m, labels), s.registry).Update(value)
 }
 
-// Observe adds a value to a histogram.
+// Observe adds a value to the sample of a histogram.
 func (s *Set) Observe(m Metric, value int64, labels ...string) {
-	name := s.name(m, labels)
+	name := s.seriesName(m, labels)
 	known := s.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleDecay))
 	})
@@ -131,8 +131,9 @@
 	}
 }
 
-// name returns the name of a value; the labels of too many become one.
-func (s *Set) name(m Metric, labels []string) string {
+// seriesName returns the registry's name for a label combination. Beyond maxSeries combinations
+// it returns a common name.
+func (s *Set) seriesName(m Metric, labels []string) string {
 	if len(labels) == 0 {
 		return m.Name
 	}
@@ -146,23 +147,23 @@
 	}
 	if !known[joined] {
 		if len(known) >= maxSeries {
-			joined = others
+			joined = otherSeries
 		}
 		known[joined] = true
 	}
 	return m.Name + "." + joined
 }
 
-// Write writes all values as text.
+// Write writes all values to w in the text format of go-metrics.
 func (s *Set) Write(w io.Writer) {
 	metrics.WriteOnce(s.registry, w)
 }
 
-// Page returns the table of all metrics in Markdown.
+// Page returns the reference page of the metrics in Markdown, which is docs/METRICS.md.
 func Page() string {
 	var page strings.Builder
 	page.WriteString("# Metrics\n\nMade by `scripts/metrics` from the package `meter`. Text at the metrics address, path `/metrics`.\n")
-	fmt.Fprintf(&page, "A metric has at most %d values; further labels count as `%s`.\n\n", maxSeries, others)
+	fmt.Fprintf(&page, "A metric has at most %d values; further labels count as `%s`.\n\n", maxSeries, otherSeries)
 	page.WriteString("| name | kind | counts |\n|---|---|---|\n")
 	for _, m := range All() {
 		name := m.Name
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -12,7 +12,7 @@
 	"lovageyard.example/lovageyard/meter"
 )
 
-func TestValuesAreBoundedWhateverNamesArrive(t *testing.T) {
+func TestNumberOfSeriesIsLimited(t *testing.T) {
 	c := qt.New(t)
 	set := meter.NewSet()
 	for i := range 5000 {
@@ -26,7 +26,7 @@
 	c.Assert(text.String(), qt.Contains, "counter answers.service-0.200\n  count:               2\n")
 }
 
-func TestEachKindIsWritten(t *testing.T) {
+func TestWriteIncludesEachKind(t *testing.T) {
 	c := qt.New(t)
 	set := meter.NewSet()
 	set.Update(meter.InFlight, 7)
@@ -47,7 +47,7 @@
 	}
 }
 
-// scripts/metrics writes the page anew.
+// If this test fails, run scripts/metrics to regenerate the page.
 func TestPageIsCurrent(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "docs", "METRICS.md"))
--- a/operator/charges.go
+++ b/operator/charges.go
@@ -10,7 +10,8 @@
 	"lovageyard.example/lovageyard/charge"
 )
 
-// Settlement is the body of the order to settle an unknown charge.
+// Settlement is the body of the request to settle a charge of unknown outcome. Operator is the
+// name of the operator who decided whether the charge ran.
 type Settlement struct {
 	Ran      bool   `json:"ran"`
 	Operator string `json:"operator"`
@@ -21,22 +22,22 @@
 	switch state {
 	case "", charge.Claimed, charge.Recorded, charge.Released, charge.Unknown:
 	default:
-		problem(w, http.StatusBadRequest, errors.Errorf("state: %q is not claimed, recorded, released or unknown", state))
+		writeProblem(w, http.StatusBadRequest, errors.Errorf("state: %q is not claimed, recorded, released or unknown", state))
 		return
 	}
 	claims, err := charge.List(r.Context(), h.store.table, state, h.timer.Now())
 	if err != nil {
-		problem(w, http.StatusBadGateway, errors.Wrap(err, "the platform could not be read"))
+		writeProblem(w, http.StatusBadGateway, errors.Wrap(err, "the platform could not be read"))
 		return
 	}
-	reply(w, claims)
+	writeOK(w, claims)
 }
 
 func (h *Handler) showCharge(w http.ResponseWriter, r *http.Request) {
 	claim, _, ok := h.readCharge(w, r)
 	if ok {
 		claim.State = claim.StateAt(h.timer.Now())
-		reply(w, claim)
+		writeOK(w, claim)
 	}
 }
 
@@ -44,11 +45,11 @@
 	key := charge.RowKey(r.PathValue("class"), r.PathValue("key"))
 	c, version, err := charge.Get(r.Context(), h.store.table, key)
 	if errors.Is(err, lovageyard.ErrNotFound) {
-		problem(w, http.StatusNotFound, errors.Errorf("charge %q does not exist", key))
+		writeProblem(w, http.StatusNotFound, errors.Errorf("charge %q does not exist", key))
 		return c, 0, false
 	}
 	if err != nil {
-		problem(w, http.StatusBadGateway, errors.Wrap(err, "the platform could not be read"))
+		writeProblem(w, http.StatusBadGateway, errors.Wrap(err, "the platform could not be read"))
 		return c, 0, false
 	}
 	return c, version, true
@@ -59,7 +60,7 @@
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&order); err != nil || order.Operator == "" {
-		problem(w, http.StatusBadRequest, errors.New("settlement: ran, and the operator's name, are needed"))
+		writeProblem(w, http.StatusBadRequest, errors.New("settlement: ran, and the operator's name, are needed"))
 		return
 	}
 	claim, version, ok := h.readCharge(w, r)
@@ -68,15 +69,15 @@
 	}
 	settled, err := charge.Settle(claim, order.Ran, order.Operator, h.timer.Now())
 	if err != nil {
-		problem(w, http.StatusConflict, err)
+		writeProblem(w, http.StatusConflict, err)
 		return
 	}
 	value, err := json.Marshal(settled)
 	if err != nil {
-		problem(w, http.StatusInternalServerError, err)
+		writeProblem(w, http.StatusInternalServerError, err)
 		return
 	}
 	row := lovageyard.Write{Table: lovageyard.TableClaims, Key: charge.RowKey(claim.Class, claim.Key), Value: value}
 	_, err = h.store.write(r.Context(), row, version)
-	h.answerWrite(w, settled, err)
+	h.respondToWrite(w, settled, err)
 }
--- a/operator/data.go
+++ b/operator/data.go
@@ -6,7 +6,8 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Status is what one entry instance knows and applies.
+// Status is the state of one entry instance: the configuration it applies, and its view of
+// moves, peers and servers.
 type Status struct {
 	Instance      string                   `json:"instance"`
 	FailureDomain string                   `json:"failure-domain"`
@@ -14,10 +15,10 @@
 	State         lovageyard.InstanceState `json:"state"`
 	Version       int64                    `json:"version"`
 	Relay         bool                     `json:"relay"`
-	// Planners are the planners that the asked instance has seen.
+	// Planners lists the planners known to the queried instance.
 	Planners []PlannerStatus `json:"planners"`
 	Blocks   int             `json:"blocks"`
-	// ListAgeMs is the age of the platform's list, in milliseconds.
+	// ListAgeMs is the age of the platform's instance list, in milliseconds.
 	ListAgeMs int64                  `json:"list-age-ms"`
 	Classes   []VersionedClass       `json:"classes"`
 	Sites     []lovageyard.SiteOrder `json:"sites"`
@@ -26,40 +27,42 @@
 	Pools     []PoolStatus           `json:"pools"`
 }
 
-// PlannerStatus tells who holds the planner's lease of a service.
+// PlannerStatus describes the holder of the planner lease of a service.
 type PlannerStatus struct {
 	Service string `json:"service"`
 	Holder  string `json:"holder"`
 	Epoch   int64  `json:"epoch"`
 }
 
-// VersionedClass is a class with the version of its row.
+// VersionedClass is a class with the version of its row, for conditional writes.
 type VersionedClass struct {
 	Version int64            `json:"version"`
 	Class   lovageyard.Class `json:"class"`
 }
 
-// InstanceStatus is an entry instance as another one knows it.
+// InstanceStatus is the queried instance's view of an entry instance. Version is the version of
+// the configuration that the latter has reported.
 type InstanceStatus struct {
 	lovageyard.EntryInstance
 	Version int64 `json:"version"`
 }
 
-// MoveStatus tells how far a class's work has moved.
+// MoveStatus describes the progress of a class's move.
 type MoveStatus struct {
 	Class string          `json:"class"`
 	Move  lovageyard.Move `json:"move"`
 	// Step is the newest step of the plan.
 	Step int64 `json:"step"`
-	// LocalStep is the step that the asked instance applies in full.
+	// LocalStep is the step that the queried instance has applied completely.
 	LocalStep int64 `json:"step-here"`
-	// LocalRemaining is the share of the asked instance's work that still has to move.
+	// LocalRemaining is the share of the queried instance's traffic that still has to move.
 	LocalRemaining float64 `json:"left-here"`
-	// ReachedStep is the step that all live instances apply in full.
+	// ReachedStep is the step that all live instances have applied completely.
 	ReachedStep int64 `json:"step-reached"`
 }
 
-// PoolStatus tells how one service of a site is doing, as seen from the asked instance.
+// PoolStatus is the queried instance's view of one service at one site. Available counts the
+// servers that accept requests.
 type PoolStatus struct {
 	Service   string  `json:"service"`
 	Site      string  `json:"site"`
@@ -71,7 +74,7 @@
 	MeanMs    float64 `json:"mean-ms"`
 }
 
-// Explanation tells where a request of a client goes, and why.
+// Explanation describes where a request of a client would be routed, and why.
 type Explanation struct {
 	Class       string  `json:"class"`
 	Client      string  `json:"client"`
@@ -88,15 +91,15 @@
 	Reason      string  `json:"reason"`
 }
 
-// DrainOrder is the body of the order to drain a site.
+// DrainOrder is the body of the request to drain a site. EmptyBy is optional.
 type DrainOrder struct {
 	EmptyBy time.Time `json:"empty-by,omitzero"`
 }
 
-// Problem is the body of every failure.
+// Problem is the body of every error response.
 type Problem struct {
 	Error   string             `json:"error"`
 	Verdict lovageyard.Verdict `json:"verdict"`
-	// Winner is the class that a racing write put in force.
+	// Winner is the current class, if a concurrent write to it won.
 	Winner *VersionedClass `json:"winner,omitempty"`
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -18,57 +18,57 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// flaky is a table whose transactions lose their answers, before or after taking effect.
-type flaky struct {
+// faultyTable is a table whose transactions lose the request or the response.
+type faultyTable struct {
 	lovageyard.Table
-	lostAfter  bool
-	lostBefore bool
-	unreadable bool
+	loseResponse bool
+	loseRequest  bool
+	unreadable   bool
 }
 
-func (f *flaky) Transact(ctx context.Context, t lovageyard.Transaction) (int64, error) {
-	if f.lostBefore {
+func (f *faultyTable) Transact(ctx context.Context, t lovageyard.Transaction) (int64, error) {
+	if f.loseRequest {
 		return 0, errors.Wrap(lovageyard.ErrUnknownOutcome, "lost")
 	}
 	version, err := f.Table.Transact(ctx, t)
-	if f.lostAfter {
+	if f.loseResponse {
 		return 0, errors.Wrap(lovageyard.ErrUnknownOutcome, "lost")
 	}
 	return version, err
 }
 
-func (f *flaky) Read(ctx context.Context, table, key string) (lovageyard.Row, error) {
+func (f *faultyTable) Read(ctx context.Context, table, key string) (lovageyard.Row, error) {
 	if f.unreadable {
 		return lovageyard.Row{}, errors.New("down")
 	}
 	return f.Table.Read(ctx, table, key)
 }
 
-// desk is a controller that knows one site.
-type desk struct {
+// fakeController is a controller that knows one site.
+type fakeController struct {
 	polls int
 }
 
-func (*desk) Status(context.Context) (Status, error) {
+func (*fakeController) Status(context.Context) (Status, error) {
 	return Status{State: lovageyard.StateLive, Pools: []PoolStatus{{Service: "desk", Site: "north"}}}, nil
 }
 
-func (*desk) Explain(_ context.Context, class string, client netip.Addr) (Explanation, error) {
+func (*fakeController) Explain(_ context.Context, class string, client netip.Addr) (Explanation, error) {
 	return Explanation{Class: class, Client: client.String()}, nil
 }
 
-func (d *desk) Poll() {
-	d.polls++
+func (f *fakeController) Poll() {
+	f.polls++
 }
 
-func newDesk(t *testing.T) (client *Client, table *flaky, controller *desk) {
-	table = &flaky{Table: memory.NewStore()}
-	controller = &desk{}
+func newTestServer(t *testing.T) (client *Client, table *faultyTable, controller *fakeController) {
+	table = &faultyTable{Table: memory.NewStore()}
+	controller = &fakeController{}
 	clock := timer.NewManual(time.Unix(1000, 0))
-	front := httptest.NewServer(NewHandler(controller, table, clock, metrics.NewRegistry()))
-	t.Cleanup(front.Close)
-	// The first address never answers; the client goes on to the next.
-	return NewClient([]string{"127.0.0.1:1", front.Listener.Addr().String()}), table, controller
+	server := httptest.NewServer(NewHandler(controller, table, clock, metrics.NewRegistry()))
+	t.Cleanup(server.Close)
+	// Nothing listens at the first address, so the client uses the next one.
+	return NewClient([]string{"127.0.0.1:1", server.Listener.Addr().String()}), table, controller
 }
 
 func testClass(importance int) lovageyard.Class {
@@ -82,22 +82,22 @@
 	}
 }
 
-func status(c *qt.C, err error) int {
+func statusOf(c *qt.C, err error) int {
 	var call *CallError
 	c.Assert(errors.As(err, &call), qt.IsTrue, qt.Commentf("%v", err))
 	return call.Status
 }
 
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentWrites(t *testing.T) {
 	c := qt.New(t)
-	client, _, controller := newDesk(t)
+	client, _, controller := newTestServer(t)
 	ctx := context.Background()
 	first, err := client.PutClass(ctx, testClass(1), 0)
 	c.Assert(err, qt.IsNil)
 	second, err := client.PutClass(ctx, testClass(2), first.Version)
 	c.Assert(err, qt.IsNil)
 	_, err = client.PutClass(ctx, testClass(3), first.Version)
-	c.Assert(status(c, err), qt.Equals, 409)
+	c.Assert(statusOf(c, err), qt.Equals, 409)
 	var call *CallError
 	errors.As(err, &call)
 	c.Assert(call.Problem.Winner.Version, qt.Equals, second.Version)
@@ -106,30 +106,30 @@
 	c.Assert(controller.polls, qt.Equals, 2)
 	c.Assert(client.DeleteClass(ctx, "lookups", second.Version), qt.IsNil)
 	_, err = client.Class(ctx, "lookups")
-	c.Assert(status(c, err), qt.Equals, 404)
+	c.Assert(statusOf(c, err), qt.Equals, 404)
 }
 
-func TestWriteWhoseAnswerIsLost(t *testing.T) {
+func TestWriteWithLostResponse(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		fault   func(f *flaky)
+		fault   func(f *faultyTable)
 		status  int
 		verdict lovageyard.Verdict
 	}{
-		{"took effect", func(f *flaky) { f.lostAfter = true }, 0, ""},
-		{"did not take effect so far", func(f *flaky) { f.lostBefore = true }, 504, lovageyard.VerdictMayHaveRun},
-		{"can't be read back", func(f *flaky) { f.lostAfter, f.unreadable = true, true }, 504, lovageyard.VerdictMayHaveRun},
+		{"took effect", func(f *faultyTable) { f.loseResponse = true }, 0, ""},
+		{"did not take effect so far", func(f *faultyTable) { f.loseRequest = true }, 504, lovageyard.VerdictMayHaveRun},
+		{"can't be read back", func(f *faultyTable) { f.loseResponse, f.unreadable = true, true }, 504, lovageyard.VerdictMayHaveRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			client, table, _ := newDesk(t)
+			client, table, _ := newTestServer(t)
 			test.fault(table)
 			_, err := client.PutClass(context.Background(), testClass(1), 0)
 			if test.status == 0 {
 				c.Assert(err, qt.IsNil)
 				return
 			}
-			c.Assert(status(c, err), qt.Equals, test.status)
+			c.Assert(statusOf(c, err), qt.Equals, test.status)
 			var call *CallError
 			errors.As(err, &call)
 			c.Assert(call.Problem.Verdict, qt.Equals, test.verdict)
@@ -137,49 +137,49 @@
 	}
 }
 
-func TestOrdersForSites(t *testing.T) {
+func TestSiteOrders(t *testing.T) {
 	c := qt.New(t)
-	client, table, _ := newDesk(t)
+	client, table, _ := newTestServer(t)
 	ctx := context.Background()
 	c.Assert(client.Drain(ctx, "north", time.Unix(2000, 0)), qt.IsNil)
 	row, err := table.Read(ctx, lovageyard.TableSites, "north")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(row.Value), qt.Contains, `"draining":true`)
 	c.Assert(client.Restore(ctx, "north"), qt.IsNil)
-	c.Assert(status(c, client.Drain(ctx, "north", time.Unix(999, 0))), qt.Equals, 422)
-	c.Assert(status(c, client.Drain(ctx, "nowhere", time.Time{})), qt.Equals, 404)
+	c.Assert(statusOf(c, client.Drain(ctx, "north", time.Unix(999, 0))), qt.Equals, 422)
+	c.Assert(statusOf(c, client.Drain(ctx, "nowhere", time.Time{})), qt.Equals, 404)
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	c := qt.New(t)
-	client, _, _ := newDesk(t)
+	client, _, _ := newTestServer(t)
 	ctx := context.Background()
 	bad := testClass(1)
 	bad.Target.Cap = 2
 	_, err := client.PutClass(ctx, bad, 0)
-	c.Assert(status(c, err), qt.Equals, 422)
+	c.Assert(statusOf(c, err), qt.Equals, 422)
 	c.Assert(err, qt.ErrorMatches, `target.cap: .*`)
 	_, err = client.Explain(ctx, "lookups", "someone")
-	c.Assert(status(c, err), qt.Equals, 400)
+	c.Assert(statusOf(c, err), qt.Equals, 400)
 	for _, path := range []string{"/classes/lookups?version=x", "/classes/lookups"} {
 		err = client.call(ctx, "DELETE", path, nil, nil)
-		c.Assert(status(c, err), qt.Equals, 400, qt.Commentf("%s", path))
+		c.Assert(statusOf(c, err), qt.Equals, 400, qt.Commentf("%s", path))
 	}
 	c.Assert(fmt.Sprint(NewClient(nil).get(ctx, "/status", nil)), qt.Contains, "no operator address")
 }
 
 func TestSettleCharge(t *testing.T) {
 	c := qt.New(t)
-	client, table, _ := newDesk(t)
+	client, table, _ := newTestServer(t)
 	ctx := context.Background()
 	clock := timer.NewManual(time.Unix(1000, 0))
 	book := charge.NewStore(table, clock, "entry/1")
 	defer book.Close()
-	held, _, err := book.Claim(ctx, charge.Request{Class: "charges", Key: "a/b?c", SendBefore: clock.Now().Add(time.Second)})
+	claim, _, err := book.Claim(ctx, charge.Request{Class: "charges", Key: "a/b?c", SendBefore: clock.Now().Add(time.Second)})
 	c.Assert(err, qt.IsNil)
 	_, err = client.SettleCharge(ctx, "charges", "a/b?c", true, "olle")
-	c.Assert(status(c, err), qt.Equals, 409)
-	book.MarkUnknown(held)
+	c.Assert(statusOf(c, err), qt.Equals, 409)
+	book.MarkUnknown(claim)
 	unknown, err := client.Charges(ctx, charge.Unknown)
 	c.Assert(err, qt.IsNil)
 	c.Assert(unknown, qt.HasLen, 1)
@@ -190,9 +190,9 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(shown.SettledBy, qt.Equals, "olle")
 	_, err = client.SettleCharge(ctx, "charges", "none", true, "olle")
-	c.Assert(status(c, err), qt.Equals, 404)
+	c.Assert(statusOf(c, err), qt.Equals, 404)
 	_, err = client.SettleCharge(ctx, "charges", "a/b?c", true, "")
-	c.Assert(status(c, err), qt.Equals, 400)
+	c.Assert(statusOf(c, err), qt.Equals, 400)
 	_, err = client.Charges(ctx, "lost")
-	c.Assert(status(c, err), qt.Equals, 400)
+	c.Assert(statusOf(c, err), qt.Equals, 400)
 }
--- a/operator/store.go
+++ b/operator/store.go
@@ -9,15 +9,16 @@
 	"lovageyard.example/lovageyard"
 )
 
-// readBacks is how often the outcome of a write whose answer was lost is asked for.
-const readBacks = 3
+// maxReadBacks is the number of attempts to read a row back after the response to its write was
+// lost.
+const maxReadBacks = 3
 
-// store writes operators' rows under the version that the operator read.
+// store makes operators' writes, conditional on the version that the operator read.
 type store struct {
 	table lovageyard.Table
 }
 
-// version returns the version of a row, or 0 if there is none.
+// version returns the version of a row, or 0 if it does not exist.
 func (s *store) version(ctx context.Context, table, key string) (int64, error) {
 	row, err := s.table.Read(ctx, table, key)
 	if errors.Is(err, lovageyard.ErrNotFound) {
@@ -26,9 +27,9 @@
 	return row.Version, err
 }
 
-// write makes one conditional write. If its answer is lost, it reads the row back; the
-// error is a *ConflictError if another write won, and wraps ErrUnknownOutcome if the
-// row can't be read.
+// write makes one conditional write and returns its version. If the response is lost, it reads
+// the row back. The error is a *lovageyard.ConflictError if another write won, and wraps
+// lovageyard.ErrUnknownOutcome if the outcome cannot be determined.
 func (s *store) write(ctx context.Context, w lovageyard.Write, version int64) (int64, error) {
 	accepted, err := s.table.Transact(ctx, lovageyard.Transaction{
 		Conditions: []lovageyard.Condition{{Table: w.Table, Key: w.Key, Version: version}},
@@ -37,22 +38,22 @@
 	if err == nil || !errors.Is(err, lovageyard.ErrUnknownOutcome) {
 		return accepted, err
 	}
-	for range readBacks {
+	for range maxReadBacks {
 		row, readErr := s.table.Read(ctx, w.Table, w.Key)
 		if readErr == nil || errors.Is(readErr, lovageyard.ErrNotFound) {
-			return outcome(w, version, row, errors.Is(readErr, lovageyard.ErrNotFound))
+			return resolveLostWrite(w, version, row, errors.Is(readErr, lovageyard.ErrNotFound))
 		}
 	}
 	return 0, err
 }
 
-// outcome judges a lost write by the row as it is now.
-func outcome(w lovageyard.Write, version int64, row lovageyard.Row, absent bool) (int64, error) {
+// resolveLostWrite determines the outcome of a write whose response was lost from the current row.
+func resolveLostWrite(w lovageyard.Write, version int64, row lovageyard.Row, absent bool) (int64, error) {
 	switch {
 	case w.Delete && absent, !w.Delete && !absent && bytes.Equal(row.Value, w.Value):
 		return row.Version, nil
 	case row.Version == version:
-		// The write may still be on its way, so that it can't be called not run.
+		// The write may still be in transit, so it cannot be reported as not run.
 		return 0, errors.Wrap(lovageyard.ErrUnknownOutcome, "the row is unchanged so far; read it again before you repeat the write")
 	}
 	return 0, &lovageyard.ConflictError{Row: row}
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,2 +1,3 @@
-// Package settings reads a program's settings from flags and environment variables.
+// Package settings parses a program's settings from flags, environment variables and an optional
+// JSON file, in this order of precedence, and validates them. Errors name the setting.
 package settings
--- a/settings/file.go
+++ b/settings/file.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// File returns an option that takes settings from a JSON file of texts whose names are the
-// flags' names, such as {"keep-for": "2s"}. Flags and the environment go before it; an
-// empty text stands for no value.
+// File returns a parser option that reads settings from a JSON file, an object that maps flag
+// names to strings, such as {"keep-for": "2s"}. Flags and environment variables take precedence.
+// An empty string counts as no value, and unknown names are ignored.
 func File(path string) (kong.Option, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/settings/file_test.go
+++ b/settings/file_test.go
@@ -29,7 +29,7 @@
 	return o, err
 }
 
-func TestFileGivesSettings(t *testing.T) {
+func TestFileProvidesSettings(t *testing.T) {
 	c := qt.New(t)
 	o, err := read(c, `{"keep-for": "3s", "regions": "a=x,b=y", "peers": "p:1,q:2", "unknown": "1"}`)
 	c.Assert(err, qt.IsNil)
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestFlagsGoBeforeTheFileAndEmptyTextsAreNoValues(t *testing.T) {
+func TestFlagsOverrideFileAndEmptyStringsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	o, err := read(c, `{"keep-for": "3s", "peers": ""}`, "--keep-for", "5s")
 	c.Assert(err, qt.IsNil)
@@ -46,7 +46,7 @@
 	c.Assert(o.Peers, qt.HasLen, 0)
 }
 
-func TestFileThatIsWrong(t *testing.T) {
+func TestInvalidFile(t *testing.T) {
 	c := qt.New(t)
 	_, err := read(c, `{"keep-for": 3}`)
 	c.Assert(err, qt.ErrorMatches, "settings file .*: a JSON object of texts is expected.*")
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -12,20 +12,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ExitUsage is the exit status of a program whose settings are wrong.
+// ExitUsage is the exit status of a program with invalid settings.
 const ExitUsage = 2
 
-// timestampFormat orders the lines of one second.
+// timestampFormat has milliseconds, so that lines of the same second can be ordered.
 const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Checker is a set of settings that checks its values.
+// Checker is implemented by settings that validate themselves. The error of Check names the
+// setting.
 type Checker interface {
 	Check() error
 }
 
-// Parse fills the settings from the arguments and the environment, where a flag such as
-// --caller-address is PREFIX_CALLER_ADDRESS, and checks them. It ends the program with
-// ExitUsage and one line on standard error if one is wrong.
+// Parse parses the command line and the environment into the struct that into points to, and
+// validates it. The environment variable of a flag such as --caller-address is
+// PREFIX_CALLER_ADDRESS. If a setting is invalid, Parse prints one line to standard error and
+// exits with status ExitUsage.
 func Parse(name, prefix, about string, into any, more ...kong.Option) *kong.Context {
 	parsed, err := Read(os.Args[1:], name, prefix, about, into, more...)
 	if err != nil {
@@ -34,7 +36,7 @@
 	return parsed
 }
 
-// Read fills and checks the settings like Parse, and returns the first error.
+// Read parses and validates settings like Parse, but returns the first error.
 func Read(arguments []string, name, prefix, about string, into any, more ...kong.Option) (*kong.Context, error) {
 	parser, err := kong.New(into, append([]kong.Option{
 		kong.Name(name),
@@ -65,7 +67,8 @@
 	os.Exit(ExitUsage)
 }
 
-// Address returns an error that names the setting unless the value has the form host:port.
+// Address returns an error that names the setting unless value has the form host:port with a
+// numeric port.
 func Address(setting, value string) error {
 	_, port, err := net.SplitHostPort(value)
 	if err != nil {
@@ -77,7 +80,7 @@
 	return nil
 }
 
-// Required returns an error that names the setting if the value is empty.
+// Required returns an error that names the setting if value is empty.
 func Required(setting, value string) error {
 	if value == "" {
 		return errors.Errorf("--%s: a value is needed", setting)
@@ -85,7 +88,8 @@
 	return nil
 }
 
-// Logger returns a logger of a level that writes to standard error, as JSON or text.
+// Logger returns a logger that writes lines of at least the given level to standard error, as
+// JSON if format is "json" and as text otherwise.
 func Logger(level, format string) (*logrus.Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
