--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -32,17 +32,17 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// Bounds of the listeners.
+// Limits of the HTTP servers.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 	closeTimeout   = 5 * time.Second
-	// leaveMargin is added to the time that callers may keep a look-up's answer.
+	// leaveMargin is added to the time for which callers may cache a look-up's response.
 	leaveMargin = time.Second
 )
 
-// daemon is a running entry instance.
+// daemon is a running entry instance in serve mode.
 type daemon struct {
 	options        options
 	logger         *logrus.Logger
@@ -57,7 +57,7 @@
 	operatorServer *http.Server
 }
 
-// listeners are the three sockets of an entry instance.
+// listeners holds the three listening sockets of a daemon.
 type listeners struct {
 	callers   net.Listener
 	peers     net.Listener
@@ -93,7 +93,8 @@
 	}
 }
 
-// start opens the listeners and begins to serve; it prints one line that says where.
+// start opens the listeners and starts to serve. It prints the instance's description, with the
+// actual addresses, as one JSON line to standard output.
 func start(o options) (*daemon, error) {
 	logger, err := settings.Logger(o.LogLevel, o.LogFormat)
 	if err != nil {
@@ -175,13 +176,13 @@
 	return d
 }
 
-// serveUntil closes idle connections that have become too old, until the daemon is to leave.
+// serveUntil periodically closes expired idle connections to servers until leave is closed.
 func (d *daemon) serveUntil(leave <-chan struct{}) {
-	watch := d.timer.Subscribe(expirePeriod)
-	defer watch.Close()
+	ticker := d.timer.Subscribe(expirePeriod)
+	defer ticker.Close()
 	for {
 		select {
-		case now := <-watch.C():
+		case now := <-ticker.C():
 			d.link.CloseExpired(now)
 		case <-leave:
 			return
@@ -207,23 +208,23 @@
 	}()
 }
 
-// stop leaves look-ups, serves on while callers may still hold an answer that names
-// this instance, lets all requests in flight end, and closes everything. When hurry
-// ends, the waits end too.
-func (d *daemon) stop(hurry context.Context) error {
+// stop shuts down gracefully. It leaves look-ups, serves while callers may still have a cached
+// look-up response with this instance, waits for the requests in flight, and closes everything.
+// Canceling abort ends the waits.
+func (d *daemon) stop(abort context.Context) error {
 	d.logger.Info("leaving")
 	d.control.Leave()
-	kept := d.timer.After(d.options.KeepFor + leaveMargin)
-	defer kept.Close()
+	cacheExpiry := d.timer.After(d.options.KeepFor + leaveMargin)
+	defer cacheExpiry.Close()
 	select {
-	case <-kept.C():
-	case <-hurry.Done():
+	case <-cacheExpiry.C():
+	case <-abort.Done():
 	}
-	err := d.drainCallers(hurry)
-	bound, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	err := d.drainCallers(abort)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = d.operatorServer.Shutdown(bound)
-	_ = d.peerServer.Shutdown(bound)
+	_ = d.operatorServer.Shutdown(shutdownCtx)
+	_ = d.peerServer.Shutdown(shutdownCtx)
 	d.charges.Close()
 	d.control.Close()
 	d.link.Close()
@@ -233,12 +234,13 @@
 	return err
 }
 
-// drainCallers waits for the callers' requests in flight, at most for the longest deadline.
-func (d *daemon) drainCallers(hurry context.Context) error {
-	bound, cancel := context.WithTimeout(hurry, d.longestDeadline())
+// drainCallers waits for the callers' requests in flight, at most for the longest deadline of a
+// class.
+func (d *daemon) drainCallers(abort context.Context) error {
+	shutdownCtx, cancel := context.WithTimeout(abort, d.longestDeadline())
 	defer cancel()
-	err := d.callerServer.Shutdown(bound)
-	if hurry.Err() != nil {
+	err := d.callerServer.Shutdown(shutdownCtx)
+	if abort.Err() != nil {
 		d.callerServer.Close()
 		return nil
 	}
--- a/lovageyardd/doc.go
+++ b/lovageyardd/doc.go
@@ -1,3 +1,7 @@
-// Command lovageyardd is one entry instance: it answers callers' look-ups and requests,
-// exchanges state with its peers, serves operators and runs the control loop.
+// Command lovageyardd runs an entry instance, which routes callers' requests to backend servers.
+//
+// It has three subcommands. Serve, the default, routes by operators' request classes and
+// placement plans, and serves the operators' interface. Edge runs on a platform that stores
+// routes, servers and drains and notifies of their changes. Metrics prints the reference page of
+// edge's metrics. Both modes exchange state with their peers and shut down gracefully on SIGTERM.
 package main
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -32,26 +32,27 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// Limits of an edge instance.
+// Limits and periods of an edge instance.
 const (
-	// memoryShare is the part of the memory limit that the heap may grow to.
+	// heapShare is the share of the process's memory limit that is set as Go's memory limit.
 	heapShare   = 0.7
 	bytesPerMiB = 1 << 20
-	// edgeHeaderTimeout bounds how long a caller may take over a request's headers.
+	// edgeHeaderTimeout limits the time to read a request's headers.
 	edgeHeaderTimeout = 10 * time.Second
-	// edgeIdleTimeout is longer than callers keep idle connections in use.
+	// edgeIdleTimeout is longer than callers keep idle connections for reuse.
 	edgeIdleTimeout = 90 * time.Second
-	// edgeMaxHeaderBytes is what callers' headers may take; net/http adds 4 KiB.
+	// edgeMaxHeaderBytes limits the size of a request's headers; net/http adds 4 KiB.
 	edgeMaxHeaderBytes = 16 << 10
-	// expireEvery is the period at which idle connections are looked through.
+	// expirePeriod is the period of the checks for expired idle connections, changed settings
+	// and gauges.
 	expirePeriod = time.Second
-	// Parts of the time to leave: requests are taken until refuseAfter of it has passed,
-	// and connections are closed by force after closeAfter of it.
+	// Shares of the time allowed for leaving: new requests are refused after refuseAfterShare of
+	// it, and the remaining connections are closed after closeAfterShare of it.
 	refuseAfterShare = 0.5
 	closeAfterShare  = 0.93
 )
 
-// edge is a running entry instance on a platform with a feed.
+// edge is a running entry instance in edge mode, on a platform with a change feed.
 type edge struct {
 	options      edgeOptions
 	logger       *logrus.Logger
@@ -67,12 +68,14 @@
 	limiter      *quota.Limiter
 	callerServer *http.Server
 	otherServers []*http.Server
-	// version is the configuration's version at the last look, in force since versionSince.
+	// version is the configuration's version at the last update of the gauges, and versionSince
+	// the time when it was first seen.
 	version      uint64
 	versionSince time.Time
 }
 
-// runEdge serves until SIGTERM; SIGHUP reads the settings anew.
+// runEdge serves until SIGTERM or SIGINT. SIGHUP, or a change of the settings file, reloads the
+// settings.
 func runEdge(o edgeOptions) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
@@ -80,8 +83,8 @@
 	if err != nil {
 		return err
 	}
-	watch := e.timer.Subscribe(expirePeriod)
-	defer watch.Close()
+	ticker := e.timer.Subscribe(expirePeriod)
+	defer ticker.Close()
 	file := newSettingsFile(os.Getenv(platform.SettingsVariable))
 	for {
 		select {
@@ -91,7 +94,7 @@
 				return nil
 			}
 			e.reload("signal")
-		case now := <-watch.C():
+		case now := <-ticker.C():
 			e.link.CloseExpired(now)
 			e.updateGauges(now)
 			if file.changed() {
@@ -125,7 +128,7 @@
 		LinkMbps:      o.LinkMbps,
 	}
 	sink := decision.NewSink(os.Stdout)
-	// Hooks run in this order: the name is added before the line is made.
+	// Hooks run in this order: the instance's name must be added before the sink formats the line.
 	logger.AddHook(instanceHook{instance: o.Instance})
 	sink.Attach(logger)
 	e := &edge{options: o, logger: logger, sink: sink, timer: clock, meters: meter.NewSet()}
@@ -186,7 +189,7 @@
 	})
 }
 
-// edgeSockets are the sockets of an edge instance; metrics is nil if it serves none.
+// edgeSockets holds the listening sockets of an edge instance; metrics is nil if not configured.
 type edgeSockets struct {
 	callers net.Listener
 	ready   net.Listener
@@ -195,7 +198,7 @@
 	metrics net.Listener
 }
 
-// listen opens all sockets; the error names the setting of the one that failed.
+// listen opens all sockets. The error names the setting of the address that failed.
 func (o *edgeOptions) listen() (*edgeSockets, error) {
 	s := &edgeSockets{}
 	var opened []net.Listener
@@ -226,7 +229,7 @@
 	return s, nil
 }
 
-// serveAll begins to serve on all sockets.
+// serveAll starts to serve on all sockets.
 func (e *edge) serveAll(s *edgeSockets) {
 	o := e.options
 	e.callerServer = edgeServer(entry.NewHandler(entry.Settings{
@@ -250,7 +253,7 @@
 	}
 }
 
-// peerServices returns what this instance offers to others.
+// peerServices returns the handler of the RPC services for peers.
 func (e *edge) peerServices() http.Handler {
 	services := http.NewServeMux()
 	for _, s := range []wire.TwirpServer{wire.NewFleetServer(e.control), wire.NewQuotaServer(e.limiter)} {
@@ -283,7 +286,7 @@
 	}()
 }
 
-// measure updates the gauges.
+// updateGauges updates all metrics that are gauges.
 func (e *edge) updateGauges(now time.Time) {
 	view := e.control.View()
 	if version := view.Version(); version != e.version {
@@ -311,7 +314,7 @@
 	}
 }
 
-// knowledgeAge returns an age in milliseconds, or -1 if it is not known.
+// ageMillis returns an age in milliseconds, or -1 if it is freshness.Unknown.
 func ageMillis(age time.Duration) int64 {
 	if age == freshness.Unknown {
 		return -1
@@ -324,20 +327,20 @@
 	e.meters.Write(w)
 }
 
-// leave takes the instance out of look-ups, serves on while callers may still hold an
-// answer that names it, as far as it can answer before it ends, then refuses all new requests,
-// lets those in flight end, and closes.
+// leave shuts down gracefully within the LeaveWithin setting. It leaves look-ups, serves while
+// callers may still have a cached look-up response with this instance, then refuses new
+// requests, waits for those in flight, and closes everything.
 func (e *edge) leave() {
 	e.logger.Info("leaving")
-	began := e.timer.Now()
-	endsAt := began.Add(time.Duration(closeAfterShare * float64(e.options.LeaveWithin)))
-	e.control.Leave(endsAt)
+	startedAt := e.timer.Now()
+	closeAt := startedAt.Add(time.Duration(closeAfterShare * float64(e.options.LeaveWithin)))
+	e.control.Leave(closeAt)
 	e.wait(time.Duration(refuseAfterShare * float64(e.options.LeaveWithin)))
 	e.control.RefuseRequests()
-	bound, cancel := context.WithTimeout(context.Background(), endsAt.Sub(e.timer.Now()))
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), closeAt.Sub(e.timer.Now()))
 	defer cancel()
-	if err := e.callerServer.Shutdown(bound); err != nil {
-		e.logger.WithError(err).Warn("requests were still in flight")
+	if err := e.callerServer.Shutdown(shutdownCtx); err != nil {
+		e.logger.WithError(err).Warn("closing connections with requests still in flight")
 		e.callerServer.Close()
 	}
 	e.limiter.Close()
--- a/lovageyardd/edge_options.go
+++ b/lovageyardd/edge_options.go
@@ -10,10 +10,10 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// minShiftWindow keeps windows long enough to hold requests to count.
+// minShiftWindow is the shortest window that still contains enough requests to count.
 const minShiftWindow = 100 * time.Millisecond
 
-// edgeOptions are the settings of an entry instance on a platform with a feed.
+// edgeOptions holds the settings of edge mode.
 type edgeOptions struct {
 	Instance        string            `help:"Name of this entry instance, unique among all."`
 	FailureDomain   string            `help:"Failure domain that this instance is in."`
@@ -47,7 +47,7 @@
 	LogFormat       string            `default:"json" enum:"json,text" help:"Format of log lines: json or text."`
 }
 
-// Check returns an error that names the first setting that is wrong.
+// Check returns an error that names the first invalid setting.
 func (o *edgeOptions) Check() error {
 	for _, s := range []struct{ name, value string }{
 		{"instance", o.Instance},
@@ -82,35 +82,35 @@
 func (o *edgeOptions) checkBounds() error {
 	switch {
 	case o.KeepFor <= 0 || o.KeepForMax <= 0:
-		return errors.New("--keep-for and --keep-for-max: more than 0s")
+		return errors.New("--keep-for and --keep-for-max: must be positive")
 	case o.LeaveWithin <= 0:
-		return errors.New("--leave-within: more than 0s")
+		return errors.New("--leave-within: must be positive")
 	case o.RetryRatio < 0 || o.RetrySlack < 0:
-		return errors.New("--retry-ratio and --retry-slack: not below 0")
+		return errors.New("--retry-ratio and --retry-slack: must not be negative")
 	case o.RetryWindow < time.Second:
-		return errors.New("--retry-window: at least 1s")
+		return errors.New("--retry-window: must be at least 1s")
 	case o.ColdExcess < 0 || o.ColdSlack < 0:
-		return errors.New("--cold-excess and --cold-slack: not below 0")
+		return errors.New("--cold-excess and --cold-slack: must not be negative")
 	case o.LargestShift <= 0 || o.LargestShift > 1:
-		return errors.New("--largest-shift: above 0, and 1 at most")
+		return errors.New("--largest-shift: must be above 0 and at most 1")
 	case o.ShiftWindow < minShiftWindow:
-		return errors.Errorf("--shift-window: at least %s", minShiftWindow)
+		return errors.Errorf("--shift-window: must be at least %s", minShiftWindow)
 	case o.RevokeWithin < 0 || o.ApplyWithin < 0:
-		return errors.New("--revoke-within and --apply-within: not below 0s")
+		return errors.New("--revoke-within and --apply-within: must not be negative")
 	case o.QuotaWindow < time.Second:
-		return errors.New("--quota-window: at least 1s")
+		return errors.New("--quota-window: must be at least 1s")
 	case o.QuotaExcess < 0 || o.QuotaSlack < 0:
-		return errors.New("--quota-excess and --quota-slack: not below 0")
+		return errors.New("--quota-excess and --quota-slack: must not be negative")
 	case o.LinkMbps < 0:
-		return errors.New("--link-mbps: not below 0")
+		return errors.New("--link-mbps: must not be negative")
 	case o.MemoryMB < 0:
-		return errors.New("--memory-mb: not below 0")
+		return errors.New("--memory-mb: must not be negative")
 	}
 	_, err := settings.Logger(o.LogLevel, o.LogFormat)
 	return err
 }
 
-// bounds returns what all instances together keep to.
+// bounds returns the limits that apply to all instances together.
 func (o *edgeOptions) bounds() dispatch.Bounds {
 	return dispatch.Bounds{
 		Retries: dispatch.RetryBound{Ratio: o.RetryRatio, Window: o.RetryWindow, Slack: o.RetrySlack},
@@ -119,11 +119,11 @@
 	}
 }
 
-// knowledgeShare is the part of operators' bounds on the age of a configuration that is used: requests are read
-// and judged within the rest.
+// ageLimitShare is the share of the operators' limits on the age of a configuration that is used.
+// The rest is reserved for reading and evaluating a request.
 const ageLimitShare = 0.9
 
-// knowledgeLimits returns how old the knowledge may be that requests are judged by.
+// ageLimits returns the limits on the age of the configuration by which requests are evaluated.
 func (o *edgeOptions) ageLimits() entry.AgeLimits {
 	return entry.AgeLimits{
 		Serve:  time.Duration(ageLimitShare * float64(o.RevokeWithin)),
@@ -131,8 +131,8 @@
 	}
 }
 
-// demand returns the share of the failure domains that are in the own region, as an
-// estimate of the share of requests that come from it.
+// localDemandShare returns the share of failure domains that are in this instance's region, as an
+// estimate of the share of requests that come from the region.
 func (o *edgeOptions) localDemandShare() float64 {
 	own := 0
 	for _, region := range o.Regions {
--- a/lovageyardd/edge_test.go
+++ b/lovageyardd/edge_test.go
@@ -14,7 +14,7 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// values are what the platform fills the template of the settings with.
+// templateValues are the values with which the platform renders the settings template.
 var templateValues = map[string]string{
 	"Node": "front-1", "Zone": "north-1", "Region": "north", "Ip": "10.0.0.1", "InternalPorts.0": "7200",
 	"Listen.Front": "10.0.0.1:1", "Listen.Ready": "10.0.0.1:2", "Listen.Directory": "10.0.0.1:3", "Listen.Control": "10.0.0.1:4",
@@ -24,34 +24,35 @@
 	"Bounds.ApplyMs": "3000",
 }
 
-// accountValues are further ones where there are client accounts.
+// accountValues are additional values for deployments with client accounts.
 var accountValues = map[string]string{
 	"Bounds.StrictRevoke": "true", "Bounds.RevokeMs": "5000",
 	"Bounds.QuotaWindowS": "4", "Bounds.QuotaExcess": "0.2", "Bounds.QuotaSlack": "30",
 }
 
-// render fills the template in as the platform does.
+// render renders the deployed settings template as the platform does.
 func render(c *qt.C) string {
 	return renderWith(c, nil)
 }
 
-// sections are parts of a template that are rendered if there is a value, or if there is none.
+// sections matches conditional parts of a template: {{#Name}} renders its content if the value
+// exists, {{^Name}} if it does not.
 var sections = regexp.MustCompile(`\{\{([#^])([A-Za-z.]+)\}\}(.*?)\{\{/[A-Za-z.]+\}\}`)
 
-// renderWith fills the template in with further values.
-func renderWith(c *qt.C, further map[string]string) string {
+// renderWith renders the template with additional values.
+func renderWith(c *qt.C, additional map[string]string) string {
 	text, err := os.ReadFile(filepath.Join("..", "deploy", "settings.json"))
 	c.Assert(err, qt.IsNil)
 	section := regexp.MustCompile(`\{\{#Zones\}\}.*\{\{/Zones\}\}`)
 	filled := section.ReplaceAllString(string(text), "north-1=north,south-1=south")
 	filled = sections.ReplaceAllStringFunc(filled, func(text string) string {
 		parts := sections.FindStringSubmatch(text)
-		if _, found := further[parts[2]]; found != (parts[1] == "#") {
+		if _, found := additional[parts[2]]; found != (parts[1] == "#") {
 			return ""
 		}
 		return parts[3]
 	})
-	for _, set := range []map[string]string{templateValues, further} {
+	for _, set := range []map[string]string{templateValues, additional} {
 		for name, value := range set {
 			filled = strings.ReplaceAll(filled, "{{"+name+"}}", value)
 		}
@@ -86,7 +87,7 @@
 	c.Assert(bounds.Shift, qt.Equals, dispatch.ShiftBound{MaxChange: 0.25, Window: 2 * time.Second})
 }
 
-func TestWrongSettingsNameTheField(t *testing.T) {
+func TestInvalidSettingsNameTheField(t *testing.T) {
 	for name, value := range map[string]string{
 		"instance": "", "caller-address": "nowhere", "peer-addresses": "10.0.0.1", "keep-for-max": "0s",
 		"leave-within": "soon", "retry-ratio": "-1", "retry-window": "10ms", "cold-slack": "-1", "memory-mb": "-1", "largest-shift": "0",
@@ -101,7 +102,7 @@
 	}
 }
 
-func TestSettingsFileIsNoticedWhenItChanges(t *testing.T) {
+func TestSettingsFileChangeIsDetected(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "settings.json")
 	c.Assert(os.WriteFile(path, []byte("{}"), 0o600), qt.IsNil)
@@ -114,9 +115,9 @@
 	c.Assert(file.changed(), qt.IsFalse)
 }
 
-// The bounds on client accounts are set where the deployment has any; without them no instance has to stop for
-// the age of what it knows.
-func TestDeployedSettingsOfAccounts(t *testing.T) {
+// TestDeployedAccountSettings checks that the limits for client accounts are set if the
+// deployment has accounts, and that otherwise no instance stops because its configuration is old.
+func TestDeployedAccountSettings(t *testing.T) {
 	c := qt.New(t)
 	o, err := parseEdgeOptions(c, renderWith(c, accountValues))
 	c.Assert(err, qt.IsNil)
--- a/lovageyardd/hook.go
+++ b/lovageyardd/hook.go
@@ -2,18 +2,18 @@
 
 import "github.com/sirupsen/logrus"
 
-// nameHook adds the instance's name to each log line, so that lines of several instances
-// can be read together.
+// instanceHook is a logrus hook that adds the instance's name to each log line, so that the logs
+// of several instances can be merged.
 type instanceHook struct {
 	instance string
 }
 
-// Levels returns all levels.
+// Levels returns all levels: the hook applies to every line.
 func (instanceHook) Levels() []logrus.Level {
 	return logrus.AllLevels
 }
 
-// Fire adds the name.
+// Fire adds the instance's name to the entry's fields.
 func (h instanceHook) Fire(e *logrus.Entry) error {
 	e.Data["instance"] = h.instance
 	return nil
--- a/lovageyardd/main.go
+++ b/lovageyardd/main.go
@@ -15,11 +15,11 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// commands are the ways to run an entry instance.
+// commands holds the subcommands and their settings.
 type commands struct {
 	Serve options     `cmd:"" default:"withargs" help:"Serve with operators' classes and placement plans (the default)."`
 	Edge  edgeOptions `cmd:"" help:"Serve on a platform that holds routes, servers and drains and tells of their changes."`
-	// Metrics has no settings.
+	// Metrics prints the reference page of metrics; it has no settings.
 	Metrics struct{} `cmd:"" help:"Print the page of the metrics of edge."`
 }
 
@@ -51,7 +51,8 @@
 	}
 }
 
-// fileOptions reads the settings file that the platform names, if it does.
+// fileOptions returns the parser options for the settings file that the platform names in the
+// environment, or none if it names none.
 func fileOptions() ([]kong.Option, error) {
 	path := os.Getenv(platform.SettingsVariable)
 	if path == "" {
@@ -64,7 +65,8 @@
 	return []kong.Option{option}, nil
 }
 
-// run serves until a signal asks to leave; a second signal hurries.
+// run serves until SIGTERM or SIGINT, and then shuts down gracefully. A second signal skips the
+// waits of the shutdown.
 func run(o options) error {
 	leave, stopLeave := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stopLeave()
@@ -73,7 +75,7 @@
 		return err
 	}
 	d.serveUntil(leave.Done())
-	hurry, stopHurry := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stopHurry()
-	return d.stop(hurry)
+	abort, stopAbort := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stopAbort()
+	return d.stop(abort)
 }
--- a/lovageyardd/options.go
+++ b/lovageyardd/options.go
@@ -9,13 +9,13 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// Bounds of settings.
+// Limits of settings.
 const (
 	maxKeepFor   = time.Hour
 	minLeaseSpan = time.Second
 )
 
-// options are the settings of an entry instance.
+// options holds the settings of serve mode.
 type options struct {
 	Instance         string        `help:"Name of this entry instance, unique among all."`
 	FailureDomain    string        `help:"Failure domain that this instance is in."`
@@ -36,7 +36,7 @@
 	LogFormat        string        `default:"json" enum:"json,text" help:"Format of log lines: json or text."`
 }
 
-// Check returns an error that names the first setting that is wrong.
+// Check returns an error that names the first invalid setting.
 func (o *options) Check() error {
 	for _, s := range []struct{ name, value string }{
 		{"instance", o.Instance},
@@ -77,13 +77,13 @@
 		return errors.Errorf("--queue-per-slot: %v is not 0 to %v", o.QueuePerSlot, maxQueue)
 	}
 	if o.SameRegionDelay < 0 || o.OtherRegionDelay < 0 {
-		return errors.New("--same-region-delay and --other-region-delay: a delay is not below 0s")
+		return errors.New("--same-region-delay and --other-region-delay: must not be negative")
 	}
 	if o.SameRegionDelay > o.OtherRegionDelay {
 		return errors.New("--same-region-delay: not above --other-region-delay")
 	}
 	if o.LeaseSpan < minLeaseSpan {
-		return errors.Errorf("--lease-span: %s is not at least %s", o.LeaseSpan, minLeaseSpan)
+		return errors.Errorf("--lease-span: %s is below the minimum of %s", o.LeaseSpan, minLeaseSpan)
 	}
 	if _, err := server.ParseMode(o.Choice); err != nil {
 		return errors.Wrap(err, "--choice")
--- a/lovageyardd/reload.go
+++ b/lovageyardd/reload.go
@@ -7,7 +7,7 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// settingsFile notices when the settings file is replaced or written.
+// settingsFile detects changes of the settings file by its modification time and size.
 type settingsFile struct {
 	path     string
 	modified time.Time
@@ -20,14 +20,14 @@
 	return f
 }
 
-// changed says whether the file is another than at the last call.
+// changed reports whether the file has changed since the last call.
 func (f *settingsFile) changed() bool {
 	if f.path == "" {
 		return false
 	}
 	info, err := os.Stat(f.path)
 	if err != nil {
-		// The file may be missing for a moment while it is replaced.
+		// The file may be missing briefly while it is replaced.
 		return false
 	}
 	same := info.ModTime().Equal(f.modified) && info.Size() == f.size
@@ -36,9 +36,8 @@
 	return !same
 }
 
-// reload reads the settings anew and applies those that may change while the instance
-// runs: the bounds, the peers to ask first and the log level. Settings that are wrong
-// leave the old ones in force.
+// reload reads the settings again and applies those that can change at run time: the bounds, the
+// seed peers and the log level. If a setting is invalid, all previous settings stay in effect.
 func (e *edge) reload(cause string) {
 	file, err := fileOptions()
 	if err != nil {
