--- a/control/publish.go
+++ b/control/publish.go
@@ -20,13 +20,13 @@
 func (c *Control) publish() {
 	c.dirty = false
 	s := &route.Snapshot{
-		Version:   c.config.Version(),
-		Home:      c.self.FailureDomain,
-		KeepFor:   c.settings.KeepFor,
-		Leaving:   c.self.State != lovageyard.StateLive,
-		Classes:   c.index,
-		Blocks:    c.blocks,
-		Directory: instance.NewDirectory(c.members.Live()),
+		Version:     c.config.Version(),
+		DefaultHome: c.self.FailureDomain,
+		LookUpTTL:   c.settings.KeepFor,
+		Leaving:     c.self.State != lovageyard.StateLive,
+		Classes:     c.index,
+		Blocks:      c.blocks,
+		Directory:   instance.NewDirectory(c.members.Live()),
 	}
 	for _, k := range c.index.All() {
 		cs := c.classes[k.Name]
@@ -44,7 +44,7 @@
 		Step:            cs.plan.Step,
 		Limiter:         cs.stepper.Limiter(),
 		FailoverLimiter: cs.failoverLimiter,
-		Budget:          cs.budget,
+		RetryBudget:     cs.budget,
 		HomeCounts:      cs.counts,
 	}
 	if cs.stepper.Initialized() {
