--- a/control/control.go
+++ b/control/control.go
@@ -66,7 +66,7 @@
 	// SeedPeers lists addresses of peers to contact while no other instance is known, so that an
 	// instance can start while the platform is unreachable.
 	SeedPeers     []string
-	KeepFor       time.Duration
+	LookUpTTL     time.Duration
 	Headroom      float64
 	Pool          server.Settings
 	Latencies     placement.Latencies
@@ -193,7 +193,7 @@
 	if c.members.Tick(now) {
 		c.dirty = true
 	}
-	c.setSharers()
+	c.setPoolInstances()
 	c.readPlatform(now)
 	c.exchange(now)
 	c.measure(now)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -167,7 +167,7 @@
 	p := instancePorts{Store: cl.store, cluster: cl, name: name}
 	c := New(Settings{
 		Self: self, Table: p, Objects: p, Instances: p, Backend: p, Peers: p, Timer: cl.clock, Recorder: p,
-		Logger: logger, Metrics: metrics.NewRegistry(), KeepFor: time.Second, Headroom: 0.2,
+		Logger: logger, Metrics: metrics.NewRegistry(), LookUpTTL: time.Second, Headroom: 0.2,
 		SeedPeers:     []string{"a1-1", "a1-2"},
 		Pool:          server.Settings{Mode: server.Shared, QueuePerSlot: 1},
 		Latencies:     placement.Latencies{SameRegion: time.Millisecond, OtherRegion: 10 * time.Millisecond},
@@ -397,13 +397,13 @@
 	}
 	cl.kill(killed)
 	cl.putClass("charges", 0.5)
-	var rest []string
+	var remaining []string
 	for _, name := range allInstances {
 		if name != killed {
-			rest = append(rest, name)
+			remaining = append(remaining, name)
 		}
 	}
-	took := cl.waitFor("placement by the rest", func() bool { return cl.placed("charges", rest...) })
+	took := cl.waitFor("placement by the remaining instances", func() bool { return cl.placed("charges", remaining...) })
 	cl.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
 }
 
@@ -486,7 +486,7 @@
 		cl.clock.Advance(testStep)
 		cl.settle()
 	}
-	asked := rounds / 2 * perRound
-	cl.c.Assert(forced <= asked/2+1, qt.IsTrue, qt.Commentf("%d of %d", forced, asked))
-	cl.c.Assert(forced >= asked*2/5, qt.IsTrue, qt.Commentf("%d of %d", forced, asked))
+	total := rounds / 2 * perRound
+	cl.c.Assert(forced <= total/2+1, qt.IsTrue, qt.Commentf("%d of %d", forced, total))
+	cl.c.Assert(forced >= total*2/5, qt.IsTrue, qt.Commentf("%d of %d", forced, total))
 }
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -220,8 +220,8 @@
 		return nil, context.Canceled
 	}
 	select {
-	case answer := <-reply:
-		return answer, nil
+	case response := <-reply:
+		return response, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-c.inbox.Context().Done():
@@ -237,26 +237,26 @@
 func (m exchangeQuery) Apply(c *Control) {
 	r := m.request
 	c.applyGossip(r.GetFrom(), r.GetMembers(), r.GetMarks())
-	answer := &wire.ExchangeReply{
+	response := &wire.ExchangeReply{
 		From:    peer.FromMember(c.self),
 		Members: c.wireMembers(),
 		Marks:   c.wireMarks(),
 	}
-	answer.BlocksVersion = c.blocksVersion
+	response.BlocksVersion = c.blocksVersion
 	if r.GetWantBlocks() && r.GetBlocksVersion() < c.blocksVersion {
-		answer.Blocks = c.compressedBlocks
+		response.Blocks = c.compressedBlocks
 	}
 	if r.GetVersion() < c.config.Version() {
-		answer.Changes = peer.FromChanges(c.config.Since(r.GetVersion()))
+		response.Changes = peer.FromChanges(c.config.Since(r.GetVersion()))
 	}
 	if r.GetWantApplied() {
-		answer.Applied = c.wireApplied()
+		response.Applied = c.wireApplied()
 	}
 	if r.GetWantListing() && len(c.listing.BackendServers) > 0 {
-		answer.Listing, _ = json.Marshal(c.listing)
-		answer.ListingAgeMs = c.settings.Timer.Now().Sub(c.listedAt).Milliseconds()
+		response.Listing, _ = json.Marshal(c.listing)
+		response.ListingAgeMs = c.settings.Timer.Now().Sub(c.listedAt).Milliseconds()
 	}
-	m.reply <- answer
+	m.reply <- response
 }
 
 func (c *Control) wireApplied() []*wire.Applied {
--- a/control/grants.go
+++ b/control/grants.go
@@ -20,10 +20,10 @@
 
 func (c *Control) grantInput(v *view, service string) grantInput {
 	typical := v.meanServiceTime(service)
-	var spares []grant.ServiceLoad
+	var loads []grant.ServiceLoad
 	for _, key := range c.sortedPools() {
 		if key.service == service {
-			spares = append(spares, c.spareCapacity(v, key, typical))
+			loads = append(loads, c.serviceLoad(v, key, typical))
 		}
 	}
 	var holders []string
@@ -31,7 +31,7 @@
 		holders = append(holders, i.Name)
 	}
 	row, _ := c.config.Row(lovageyard.TableGrants, service)
-	plan := grant.Divide(spares, holders)
+	plan := grant.Divide(loads, holders)
 	return grantInput{
 		service: service,
 		plan:    plan,
@@ -40,8 +40,8 @@
 	}
 }
 
-// spareCapacity returns the capacity of a service at a site and its planned load.
-func (c *Control) spareCapacity(v *view, key poolKey, typical float64) grant.ServiceLoad {
+// serviceLoad returns the capacity of a service at a site and its planned load.
+func (c *Control) serviceLoad(v *view, key poolKey, typical float64) grant.ServiceLoad {
 	p := c.pools[key]
 	service := v.serviceTime(key, typical)
 	s := grant.ServiceLoad{
--- a/control/planner.go
+++ b/control/planner.go
@@ -191,7 +191,7 @@
 			continue
 		}
 		row, _ := c.config.Row(lovageyard.TablePlans, k.Name)
-		reached, left := c.reachedStep(k.Name)
+		reached, remaining := c.reachedStep(k.Name)
 		inputs = append(inputs, plannerInput{
 			version: row.Version,
 			Input: placement.Input{
@@ -204,7 +204,7 @@
 				Headroom:    c.settings.Headroom,
 				Current:     cs.plan,
 				AppliedStep: reached,
-				Remaining:   left,
+				Remaining:   remaining,
 			},
 		})
 	}
@@ -213,7 +213,7 @@
 
 // reachedStep returns the plan step of a class that every failure domain has applied completely,
 // and the largest share of traffic that any of them still has to move, from the merged reports.
-func (c *Control) reachedStep(class string) (step int64, left float64) {
+func (c *Control) reachedStep(class string) (step int64, remaining float64) {
 	step = math.MaxInt64
 	now := c.settings.Timer.Now()
 	for _, r := range c.reports {
@@ -223,14 +223,14 @@
 		for _, s := range r.report.GetSettled() {
 			if s.GetClass() == class {
 				step = min(step, s.GetSettled())
-				left = max(left, float64(s.GetLeft()))
+				remaining = max(remaining, float64(s.GetLeft()))
 			}
 		}
 	}
 	if step == math.MaxInt64 {
 		return 0, 0
 	}
-	return step, left
+	return step, remaining
 }
 
 // domainSteps returns, for each class, the lowest step that all live instances of this failure
--- a/control/pools.go
+++ b/control/pools.go
@@ -96,18 +96,18 @@
 	}
 }
 
-// setSharers sets, for each pool, the number of entry instances that share its servers.
-func (c *Control) setSharers() {
+// setPoolInstances sets, for each pool, the number of entry instances that share its servers.
+func (c *Control) setPoolInstances() {
 	inDomain := make(map[string]int)
 	for _, i := range c.members.Live() {
 		inDomain[i.FailureDomain]++
 	}
 	for _, p := range c.pools {
-		sharers := inDomain[p.failureDomain]
+		instances := inDomain[p.failureDomain]
 		if p.failureDomain != c.self.FailureDomain {
-			sharers++
+			instances++
 		}
-		p.SetInstances(sharers)
+		p.SetInstances(instances)
 	}
 }
 
@@ -151,13 +151,13 @@
 // probe probes the suspect and the leaving servers. Those of other failure domains are farther
 // away and are probed less often.
 func (c *Control) probe(now time.Time) {
-	elsewhere := c.isDue("probe elsewhere", remoteProbePeriod, now)
+	remoteDue := c.isDue("probe elsewhere", remoteProbePeriod, now)
 	for k, p := range c.pools {
-		if p.failureDomain != c.self.FailureDomain && !elsewhere {
+		if p.failureDomain != c.self.FailureDomain && !remoteDue {
 			continue
 		}
-		census := p.Stats(now)
-		for _, b := range slices.Concat(census.Suspects, census.Leaving) {
+		stats := p.Stats(now)
+		for _, b := range slices.Concat(stats.Suspects, stats.Leaving) {
 			if b.State == lovageyard.StateLive {
 				c.probeServer(k, b)
 			}
--- a/control/publish.go
+++ b/control/publish.go
@@ -22,7 +22,7 @@
 	s := &route.Snapshot{
 		Version:     c.config.Version(),
 		DefaultHome: c.self.FailureDomain,
-		LookUpTTL:   c.settings.KeepFor,
+		LookUpTTL:   c.settings.LookUpTTL,
 		Leaving:     c.self.State != lovageyard.StateLive,
 		Classes:     c.index,
 		Blocks:      c.blocks,
--- a/control/report.go
+++ b/control/report.go
@@ -123,19 +123,19 @@
 
 // siteReport returns this instance's measurements of a pool since the previous report.
 func (p *pool) siteReport(k poolKey, now time.Time) *wire.SiteReport {
-	census := p.Stats(now)
+	stats := p.Stats(now)
 	passed := now.Sub(p.measuredAt).Seconds()
 	if passed > 0 {
-		p.rate = float64(census.Answers-p.lastAnswers) / passed
+		p.rate = float64(stats.Answers-p.lastAnswers) / passed
 	}
-	p.lastAnswers = census.Answers
+	p.lastAnswers = stats.Answers
 	p.measuredAt = now
 	return &wire.SiteReport{
 		Service:     k.service,
 		Site:        k.site,
 		Load:        p.rate,
-		Alive:       census.Available > 0,
-		MeanSeconds: census.ServiceTime.Seconds(),
+		Alive:       stats.Available > 0,
+		MeanSeconds: stats.ServiceTime.Seconds(),
 	}
 }
 
--- a/control/status.go
+++ b/control/status.go
@@ -22,16 +22,16 @@
 
 // query is a function that the loop calls, with a channel for its result.
 type query[T any] struct {
-	answer func() T
-	reply  chan T
+	compute func() T
+	reply   chan T
 }
 
 func (q query[T]) Apply(*Control) {
-	q.reply <- q.answer()
+	q.reply <- q.compute()
 }
 
-func runQuery[T any](ctx context.Context, c *Control, answer func() T) (T, error) {
-	q := query[T]{answer: answer, reply: make(chan T, 1)}
+func runQuery[T any](ctx context.Context, c *Control, compute func() T) (T, error) {
+	q := query[T]{compute: compute, reply: make(chan T, 1)}
 	var none T
 	if !c.inbox.Post(q) {
 		return none, context.Canceled
@@ -73,16 +73,16 @@
 		}
 	}
 	for _, k := range c.sortedPools() {
-		census := c.pools[k].Stats(now)
+		stats := c.pools[k].Stats(now)
 		s.Pools = append(s.Pools, operator.PoolStatus{
 			Service:   k.service,
 			Site:      k.site,
-			Servers:   census.Servers,
-			Available: census.Available,
-			Slots:     census.Slots,
-			InFlight:  census.InFlight,
-			Queued:    census.Queued,
-			MeanMs:    float64(census.Mean.Microseconds()) / 1000,
+			Servers:   stats.Servers,
+			Available: stats.Available,
+			Slots:     stats.Slots,
+			InFlight:  stats.InFlight,
+			Queued:    stats.Queued,
+			MeanMs:    float64(stats.Mean.Microseconds()) / 1000,
 		})
 	}
 	return s
--- a/control/works.go
+++ b/control/works.go
@@ -207,12 +207,12 @@
 
 // recordStep records a step of a move as a decision.
 func (c *Control) recordStep(cs *classState, d move.Demand) {
-	step, left := cs.stepper.Progress(d)
+	step, remaining := cs.stepper.Progress(d)
 	c.settings.Recorder.Record(lovageyard.Decision{
 		Kind:     "move",
 		Class:    cs.class.Name,
 		PlanStep: step,
-		Share:    left,
+		Share:    remaining,
 		Reason:   "step at this instance",
 	})
 }
@@ -243,8 +243,8 @@
 func (c *Control) neighboursBegan(class string, step int64, neighbours []instance.Member) bool {
 	version := c.planVersion(class)
 	for _, m := range neighbours {
-		begun, found := reportedStep(m, class)
-		if found && begun.Started > 0 && begun.Started < step || !found && m.Version < version {
+		reported, found := reportedStep(m, class)
+		if found && reported.Started > 0 && reported.Started < step || !found && m.Version < version {
 			return false
 		}
 	}
@@ -275,11 +275,11 @@
 		if cs == nil || cs.plan.Step == 0 {
 			continue
 		}
-		completed, left := cs.stepper.Progress(cs.demand())
+		completed, remaining := cs.stepper.Progress(cs.demand())
 		if completed == cs.plan.Step && cs.stepper.Idle() {
 			continue
 		}
-		steps = append(steps, instance.Step{Class: k.Name, Started: cs.currentStep(), Completed: completed, Remaining: left})
+		steps = append(steps, instance.Step{Class: k.Name, Started: cs.currentStep(), Completed: completed, Remaining: remaining})
 	}
 	return steps
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -69,11 +69,11 @@
 	}
 	now := clock.Now()
 	l.observe(row, now)
-	own := l.record.Holder == l.self.Holder
-	if !own && row.Version != 0 && now.Sub(l.changedAt) < l.duration {
+	renewing := l.record.Holder == l.self.Holder
+	if !renewing && row.Version != 0 && now.Sub(l.changedAt) < l.duration {
 		return nil
 	}
-	return l.write(ctx, now, own)
+	return l.write(ctx, now, renewing)
 }
 
 func (l *Lease) observe(row lovageyard.Row, now time.Time) {
@@ -88,11 +88,11 @@
 	}
 }
 
-func (l *Lease) write(ctx context.Context, now time.Time, own bool) error {
+func (l *Lease) write(ctx context.Context, now time.Time, renewing bool) error {
 	next := l.self
 	next.Epoch = l.record.Epoch
 	next.Renewals = l.record.Renewals + 1
-	if !own {
+	if !renewing {
 		next.Epoch++
 	}
 	value, err := json.Marshal(next)
--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -152,7 +152,7 @@
 		Logger:        logger,
 		Metrics:       registry,
 		SeedPeers:     o.PeerAddresses,
-		KeepFor:       o.KeepFor,
+		LookUpTTL:     o.KeepFor,
 		Headroom:      o.Headroom,
 		Pool:          server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
 		Latencies:     placement.Latencies{SameRegion: o.SameRegionDelay, OtherRegion: o.OtherRegionDelay},
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -159,8 +159,8 @@
 		Bounds:        o.bounds(),
 		Seed:          uint64(self.Incarnation),
 	})
-	notices := &entry.BackpressureObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
-	e.link = link.New(platform.Headers{}, e.timer, notices)
+	observer := &entry.BackpressureObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
+	e.link = link.New(platform.Headers{}, e.timer, observer)
 	e.quarantine = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
 	e.control = fleet.New(fleet.Settings{
 		Self:       self,
@@ -293,15 +293,15 @@
 		e.version = version
 		e.versionSince = now
 	}
-	census := e.dispatch.Stats(now)
+	stats := e.dispatch.Stats(now)
 	dropped := e.sink.Dropped()
 	e.meters.Update(meter.ConnectionsOpened, e.link.Opened())
-	e.meters.Update(meter.ServersKnown, int64(census.Servers))
-	e.meters.Update(meter.ServersSuspect, int64(census.Suspects))
-	e.meters.Update(meter.ServersLimited, int64(census.Limited))
-	e.meters.Update(meter.ServersLeaving, int64(census.Leaving))
-	e.meters.Update(meter.ServersBackingOff, int64(census.BackingOff))
-	e.meters.Update(meter.InFlight, int64(census.InFlight))
+	e.meters.Update(meter.ServersKnown, int64(stats.Servers))
+	e.meters.Update(meter.ServersSuspect, int64(stats.Suspects))
+	e.meters.Update(meter.ServersLimited, int64(stats.Limited))
+	e.meters.Update(meter.ServersLeaving, int64(stats.Leaving))
+	e.meters.Update(meter.ServersBackingOff, int64(stats.BackingOff))
+	e.meters.Update(meter.InFlight, int64(stats.InFlight))
 	e.meters.Update(meter.ConfigurationVersion, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
 	e.meters.Update(meter.ConfirmationAge, ageMillis(e.control.ConfirmationAge()))
@@ -309,7 +309,7 @@
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
 	e.meters.Update(meter.LogDroppedOther, dropped.Other)
-	for service, share := range census.RemoteShares {
+	for service, share := range stats.RemoteShares {
 		e.meters.Update(meter.ShareElsewhere, int64(1000*share), service)
 	}
 }
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -115,12 +115,12 @@
 		writeProblem(w, http.StatusBadGateway, errors.Wrap(err, "the platform could not be read"))
 		return
 	}
-	known, err := decodeClass(row)
+	current, err := decodeClass(row)
 	if err != nil {
 		writeProblem(w, http.StatusInternalServerError, err)
 		return
 	}
-	writeOK(w, known)
+	writeOK(w, current)
 }
 
 func (h *Handler) putClass(w http.ResponseWriter, r *http.Request) {
@@ -272,9 +272,9 @@
 }
 
 func decodeClass(row lovageyard.Row) (VersionedClass, error) {
-	known := VersionedClass{Version: row.Version}
-	err := json.Unmarshal(row.Value, &known.Class)
-	return known, errors.Wrap(err, "class "+row.Key)
+	c := VersionedClass{Version: row.Version}
+	err := json.Unmarshal(row.Value, &c.Class)
+	return c, errors.Wrap(err, "class "+row.Key)
 }
 
 func writeProblem(w http.ResponseWriter, status int, err error) {
