--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -32,32 +32,32 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// Bounds of the listeners.
+// Limits of the HTTP servers.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 	closeTimeout   = 5 * time.Second
-	// leaveMargin is added to the time that callers may keep a look-up's answer.
+	// leaveMargin is added to the time for which callers may cache a look-up's response.
 	leaveMargin = time.Second
 )
 
-// daemon is a running entry instance.
+// daemon is a running entry instance in serve mode.
 type daemon struct {
-	options   options
-	logger    *logrus.Logger
-	timer     lovageyard.Timer
-	control   *control.Control
-	link      *link.Transport
-	platform  *platform.Store
-	peers     *peer.Client
-	charges   *charge.Store
-	callers   *http.Server
-	peering   *http.Server
-	operators *http.Server
+	options        options
+	logger         *logrus.Logger
+	timer          lovageyard.Timer
+	control        *control.Control
+	link           *link.Transport
+	platform       *platform.Store
+	peers          *peer.Client
+	charges        *charge.Store
+	callerServer   *http.Server
+	peerServer     *http.Server
+	operatorServer *http.Server
 }
 
-// listeners are the three sockets of an entry instance.
+// listeners holds the three listening sockets of a daemon.
 type listeners struct {
 	callers   net.Listener
 	peers     net.Listener
@@ -93,7 +93,8 @@
 	}
 }
 
-// start opens the listeners and begins to serve; it prints one line that says where.
+// start opens the listeners and starts to serve. It prints the instance's description, with the
+// actual addresses, as one JSON line to standard output.
 func start(o options) (*daemon, error) {
 	logger, err := settings.Logger(o.LogLevel, o.LogFormat)
 	if err != nil {
@@ -116,9 +117,9 @@
 	}
 	d := assemble(o, self, logger, clock)
 	d.control.Start()
-	d.serve(d.callers, l.callers)
-	d.serve(d.peering, l.peers)
-	d.serve(d.operators, l.operators)
+	d.serve(d.callerServer, l.callers)
+	d.serve(d.peerServer, l.peers)
+	d.serve(d.operatorServer, l.operators)
 	logger.WithFields(logrus.Fields{
 		"instance":         self.Name,
 		"caller-address":   self.CallerAddress,
@@ -151,7 +152,7 @@
 		Logger:        logger,
 		Metrics:       registry,
 		SeedPeers:     o.PeerAddresses,
-		KeepFor:       o.KeepFor,
+		LookUpTTL:     o.KeepFor,
 		Headroom:      o.Headroom,
 		Pool:          server.Settings{Mode: server.Mode(o.Choice), QueuePerSlot: o.QueuePerSlot},
 		Latencies:     placement.Latencies{SameRegion: o.SameRegionDelay, OtherRegion: o.OtherRegionDelay},
@@ -169,19 +170,19 @@
 		Metrics:  registry,
 		Self:     self,
 	})
-	d.callers = newServer(handler)
-	d.peering = newServer(wire.NewPeersServer(d.control))
-	d.operators = newServer(operator.NewHandler(d.control, d.platform, clock, registry))
+	d.callerServer = newServer(handler)
+	d.peerServer = newServer(wire.NewPeersServer(d.control))
+	d.operatorServer = newServer(operator.NewHandler(d.control, d.platform, clock, registry))
 	return d
 }
 
-// serveUntil closes idle connections that have become too old, until the daemon is to leave.
+// serveUntil periodically closes expired idle connections to servers until leave is closed.
 func (d *daemon) serveUntil(leave <-chan struct{}) {
-	watch := d.timer.Subscribe(expireEvery)
-	defer watch.Close()
+	ticker := d.timer.Subscribe(expirePeriod)
+	defer ticker.Close()
 	for {
 		select {
-		case now := <-watch.C():
+		case now := <-ticker.C():
 			d.link.CloseExpired(now)
 		case <-leave:
 			return
@@ -207,23 +208,23 @@
 	}()
 }
 
-// stop leaves look-ups, serves on while callers may still hold an answer that names
-// this instance, lets all requests in flight end, and closes everything. When hurry
-// ends, the waits end too.
-func (d *daemon) stop(hurry context.Context) error {
+// stop shuts down gracefully. It leaves look-ups, serves while callers may still have a cached
+// look-up response with this instance, waits for the requests in flight, and closes everything.
+// Canceling abort ends the waits.
+func (d *daemon) stop(abort context.Context) error {
 	d.logger.Info("leaving")
 	d.control.Leave()
-	kept := d.timer.After(d.options.KeepFor + leaveMargin)
-	defer kept.Close()
+	cacheExpiry := d.timer.After(d.options.KeepFor + leaveMargin)
+	defer cacheExpiry.Close()
 	select {
-	case <-kept.C():
-	case <-hurry.Done():
+	case <-cacheExpiry.C():
+	case <-abort.Done():
 	}
-	err := d.drainCallers(hurry)
-	bound, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	err := d.drainCallers(abort)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = d.operators.Shutdown(bound)
-	_ = d.peering.Shutdown(bound)
+	_ = d.operatorServer.Shutdown(shutdownCtx)
+	_ = d.peerServer.Shutdown(shutdownCtx)
 	d.charges.Close()
 	d.control.Close()
 	d.link.Close()
@@ -233,13 +234,14 @@
 	return err
 }
 
-// drainCallers waits for the callers' requests in flight, at most for the longest deadline.
-func (d *daemon) drainCallers(hurry context.Context) error {
-	bound, cancel := context.WithTimeout(hurry, d.longestDeadline())
+// drainCallers waits for the callers' requests in flight, at most for the longest deadline of a
+// class.
+func (d *daemon) drainCallers(abort context.Context) error {
+	shutdownCtx, cancel := context.WithTimeout(abort, d.longestDeadline())
 	defer cancel()
-	err := d.callers.Shutdown(bound)
-	if hurry.Err() != nil {
-		d.callers.Close()
+	err := d.callerServer.Shutdown(shutdownCtx)
+	if abort.Err() != nil {
+		d.callerServer.Close()
 		return nil
 	}
 	return errors.Wrap(err, "requests in flight")
--- a/lovageyardd/edge_test.go
+++ b/lovageyardd/edge_test.go
@@ -14,8 +14,8 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// values are what the platform fills the template of the settings with.
-var values = map[string]string{
+// templateValues are the values with which the platform renders the settings template.
+var templateValues = map[string]string{
 	"Node": "front-1", "Zone": "north-1", "Region": "north", "Ip": "10.0.0.1", "InternalPorts.0": "7200",
 	"Listen.Front": "10.0.0.1:1", "Listen.Ready": "10.0.0.1:2", "Listen.Directory": "10.0.0.1:3", "Listen.Control": "10.0.0.1:4",
 	"Platform.Addr": "10.9.0.1:5", "Seeds": "10.0.0.1:4,10.0.0.2:4", "Limits.RamMb": "284",
@@ -24,34 +24,35 @@
 	"Bounds.ApplyMs": "3000",
 }
 
-// accountValues are further ones where there are client accounts.
+// accountValues are additional values for deployments with client accounts.
 var accountValues = map[string]string{
 	"Bounds.StrictRevoke": "true", "Bounds.RevokeMs": "5000",
 	"Bounds.QuotaWindowS": "4", "Bounds.QuotaExcess": "0.2", "Bounds.QuotaSlack": "30",
 }
 
-// render fills the template in as the platform does.
+// render renders the deployed settings template as the platform does.
 func render(c *qt.C) string {
 	return renderWith(c, nil)
 }
 
-// sections are parts of a template that are rendered if there is a value, or if there is none.
+// sections matches conditional parts of a template: {{#Name}} renders its content if the value
+// exists, {{^Name}} if it does not.
 var sections = regexp.MustCompile(`\{\{([#^])([A-Za-z.]+)\}\}(.*?)\{\{/[A-Za-z.]+\}\}`)
 
-// renderWith fills the template in with further values.
-func renderWith(c *qt.C, further map[string]string) string {
+// renderWith renders the template with additional values.
+func renderWith(c *qt.C, additional map[string]string) string {
 	text, err := os.ReadFile(filepath.Join("..", "deploy", "settings.json"))
 	c.Assert(err, qt.IsNil)
 	section := regexp.MustCompile(`\{\{#Zones\}\}.*\{\{/Zones\}\}`)
 	filled := section.ReplaceAllString(string(text), "north-1=north,south-1=south")
 	filled = sections.ReplaceAllStringFunc(filled, func(text string) string {
 		parts := sections.FindStringSubmatch(text)
-		if _, found := further[parts[2]]; found != (parts[1] == "#") {
+		if _, found := additional[parts[2]]; found != (parts[1] == "#") {
 			return ""
 		}
 		return parts[3]
 	})
-	for _, set := range []map[string]string{values, further} {
+	for _, set := range []map[string]string{templateValues, additional} {
 		for name, value := range set {
 			filled = strings.ReplaceAll(filled, "{{"+name+"}}", value)
 		}
@@ -60,7 +61,7 @@
 	return filled
 }
 
-func readEdge(c *qt.C, text string) (edgeOptions, error) {
+func parseEdgeOptions(c *qt.C, text string) (edgeOptions, error) {
 	path := filepath.Join(c.TempDir(), "settings.json")
 	c.Assert(os.WriteFile(path, []byte(text), 0o600), qt.IsNil)
 	file, err := settings.File(path)
@@ -72,13 +73,13 @@
 
 func TestDeployedSettingsAreValid(t *testing.T) {
 	c := qt.New(t)
-	o, err := readEdge(c, render(c))
+	o, err := parseEdgeOptions(c, render(c))
 	c.Assert(err, qt.IsNil)
 	c.Assert(o.Instance, qt.Equals, "front-1")
 	c.Assert(o.MetricsAddress, qt.Equals, "10.0.0.1:7200")
 	c.Assert(o.LeaveWithin, qt.Equals, 6*time.Second)
 	c.Assert(o.PeerAddresses, qt.HasLen, 2)
-	c.Assert(o.demand(), qt.Equals, 0.5)
+	c.Assert(o.localDemandShare(), qt.Equals, 0.5)
 	bounds := o.bounds()
 	c.Assert(bounds.Retries.Slack, qt.Equals, 64.0)
 	c.Assert(bounds.Cold.Excess, qt.Equals, 1.5)
@@ -86,7 +87,7 @@
 	c.Assert(bounds.Shift, qt.Equals, dispatch.ShiftBound{MaxChange: 0.25, Window: 2 * time.Second})
 }
 
-func TestWrongSettingsNameTheField(t *testing.T) {
+func TestInvalidSettingsNameTheField(t *testing.T) {
 	for name, value := range map[string]string{
 		"instance": "", "caller-address": "nowhere", "peer-addresses": "10.0.0.1", "keep-for-max": "0s",
 		"leave-within": "soon", "retry-ratio": "-1", "retry-window": "10ms", "cold-slack": "-1", "memory-mb": "-1", "largest-shift": "0",
@@ -95,13 +96,13 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			line := regexp.MustCompile(`"` + name + `": "[^"]*"`)
-			_, err := readEdge(c, line.ReplaceAllString(render(c), `"`+name+`": "`+value+`"`))
+			_, err := parseEdgeOptions(c, line.ReplaceAllString(render(c), `"`+name+`": "`+value+`"`))
 			c.Assert(err, qt.ErrorMatches, ".*--"+name+".*")
 		})
 	}
 }
 
-func TestSettingsFileIsNoticedWhenItChanges(t *testing.T) {
+func TestSettingsFileChangeIsDetected(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "settings.json")
 	c.Assert(os.WriteFile(path, []byte("{}"), 0o600), qt.IsNil)
@@ -114,22 +115,22 @@
 	c.Assert(file.changed(), qt.IsFalse)
 }
 
-// The bounds on client accounts are set where the deployment has any; without them no instance has to stop for
-// the age of what it knows.
-func TestDeployedSettingsOfAccounts(t *testing.T) {
+// TestDeployedAccountSettings checks that the limits for client accounts are set if the
+// deployment has accounts, and that otherwise no instance stops because its configuration is old.
+func TestDeployedAccountSettings(t *testing.T) {
 	c := qt.New(t)
-	o, err := readEdge(c, renderWith(c, accountValues))
+	o, err := parseEdgeOptions(c, renderWith(c, accountValues))
 	c.Assert(err, qt.IsNil)
 	c.Assert(o.Check(), qt.IsNil)
 	c.Assert(o.RevokeWithin, qt.Equals, 5*time.Second)
-	c.Assert(o.knowledgeLimits().Serve, qt.Equals, 4500*time.Millisecond)
-	c.Assert(o.knowledgeLimits().Reject, qt.Equals, 2700*time.Millisecond)
+	c.Assert(o.ageLimits().Serve, qt.Equals, 4500*time.Millisecond)
+	c.Assert(o.ageLimits().Reject, qt.Equals, 2700*time.Millisecond)
 	c.Assert(o.QuotaWindow, qt.Equals, 4*time.Second)
 	c.Assert(o.QuotaExcess, qt.Equals, 0.2)
 	c.Assert(o.QuotaSlack, qt.Equals, 30.0)
-	o, err = readEdge(c, render(c))
+	o, err = parseEdgeOptions(c, render(c))
 	c.Assert(err, qt.IsNil)
 	c.Assert(o.Check(), qt.IsNil)
-	c.Assert(o.knowledgeLimits().Serve, qt.Equals, time.Duration(0))
+	c.Assert(o.ageLimits().Serve, qt.Equals, time.Duration(0))
 	c.Assert(o.QuotaSlack, qt.Equals, 0.0)
 }
