--- a/integration/deployment_test.go
+++ b/integration/deployment_test.go
@@ -176,6 +176,7 @@
 	return operator.NewClient([]string{e.OperatorAddress}).Status(context.Background())
 }
 
+// isPlaced reports whether an instance knows all instances and has a placement of at least so many classes.
 func (d *deployment) isPlaced(e lovageyard.EntryInstance, classes int) bool {
 	status, err := d.status(e)
 	if err != nil || len(status.Moves) < classes || len(status.Instances) < len(d.entries) {
@@ -229,6 +230,7 @@
 	return t
 }
 
+// send is the loop of one sender. It ends if a look-up fails.
 func (t *traffic) send(d *deployment, n int, class, method string) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 20 * time.Second}
 	defer client.CloseIdleConnections()
--- a/integration/poison_test.go
+++ b/integration/poison_test.go
@@ -43,7 +43,8 @@
 	allowedSends = 3
 )
 
-// crashableFleet is three entry instances in front of servers that crash on poison requests.
+// crashableFleet is three entry instances in front of servers that crash on poison requests. It counts the
+// servers that have crashed and started, and the attempts that were sent.
 type crashableFleet struct {
 	*edge
 	instances []*edge
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -8,16 +8,16 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Servers that signal backpressure in their answers. The plan combines them with faults of instances and of the
-// store, but not of the links to servers, so that the signals that each instance has received are known.
+// Kinds of backpressure that servers signal in their answers. Plans combine them with faults of instances and of
+// the store, but not of the links to servers, so that the signals that each instance has received are known.
 const (
 	limitServer    kind = "limit-server"
 	backOffServer  kind = "back-off-server"
 	leaveInAnswers kind = "leave-in-answers"
 )
 
-// backpressureKinds are the kinds of such a plan. The last three, the backpressure itself, are drawn at least
-// as often as all others together.
+// backpressureKinds are the kinds in plans with backpressure. The last three, which are backpressure, are drawn
+// at least as often as all others together.
 var backpressureKinds = []kind{
 	pauseInstance, killInstance, restartInstance, cutFromStore, storeDown, storeHangs, storeSlow, storeDropsHistory, configure, drainDomain, replaceServer, burst,
 	limitServer, backOffServer, leaveInAnswers,
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -26,7 +26,8 @@
 	probeTimeout   = 2 * time.Second
 )
 
-// callerPool is all callers of a run, and the prober of configuration versions.
+// callerPool is all callers of a run, and the prober of configuration versions. While burst is set, callers
+// send up to 8 times as many requests.
 type callerPool struct {
 	deployment *deployment
 	check      *checker
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -10,8 +10,8 @@
 // kind is a kind of fault or of planned operation.
 type kind string
 
-// Kinds of faults and planned operations. Each is applied to a randomly drawn target, which is an instance, a
-// server, a failure domain, or nothing for those of the store.
+// Kinds of faults and planned operations; the values name them in plans and counters. Each is applied to a
+// randomly drawn target, which is an instance, a server, a failure domain, or nothing for those of the store.
 const (
 	pauseInstance      kind = "pause-instance"
 	killInstance       kind = "kill-instance"
@@ -106,7 +106,7 @@
 	return plan
 }
 
-// addFurther adds faults of furtherKinds to a plan, one each 0.5 to 2 s.
+// addFurther adds faults of furtherKinds to a plan, at random intervals of 0.5 to 2 s.
 func addFurther(plan []fault, seed uint64, span time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, furtherStream))
 	for at := time.Second; ; {
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -110,6 +110,7 @@
 	encode(w, http.StatusOK, s.report())
 }
 
+// report returns the load report, with no load if the fault MisleadingLoad is set.
 func (s *backendServer) report() lovageyard.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,6 +240,7 @@
 	return true
 }
 
+// serviceTime draws the service time of the next request.
 func (s *backendServer) serviceTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
