--- a/entry/answer.go
+++ b/entry/answer.go
@@ -15,8 +15,8 @@
 	"lovageyard.example/lovageyard/meter"
 )
 
-// finish sends the final response: the server's answer to the last attempt if it may be forwarded, otherwise
-// the 5xx answer of an earlier attempt, otherwise an error response of this instance.
+// finish responds after the last attempt: with its answer if that may be forwarded, otherwise with the 5xx
+// answer of an earlier attempt, otherwise with an error response of this instance.
 func (x *exchange) finish(ctx context.Context, a *attempt) {
 	switch {
 	case x.request.Context().Err() != nil:
@@ -68,10 +68,10 @@
 	}
 	x.log(logrus.InfoLevel, decision.OutcomeAnswered, a.answer.Status, reason, a)
 	x.count(a.answer.Status)
-	x.observe()
+	x.observeLatency()
 }
 
-func (x *exchange) observe() {
+func (x *exchange) observeLatency() {
 	x.handler.Metrics.Observe(meter.Latency, x.handler.Timer.Now().Sub(x.began).Milliseconds(), x.label())
 }
 
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -9,6 +9,7 @@
 )
 
 // AgeLimits bound the age of the configuration with which requests are decided; see Source.ConfirmationAge.
+// They do not apply to a configuration without accounts.
 type AgeLimits struct {
 	// Serve is the maximum age at which requests with a key are served, as the key may have been revoked
 	// since; 0 means no limit.
@@ -21,8 +22,8 @@
 const (
 	// noRetry is the retry time of refusals that a retry cannot change.
 	noRetry = 0
-	// staleRetry is the retry time of a refusal because the configuration is too old; it is normally confirmed
-	// every second.
+	// staleRetry is the retry time of a refusal because the configuration is too old. The configuration is
+	// normally confirmed every second.
 	staleRetry = 300 * time.Millisecond
 )
 
@@ -50,8 +51,8 @@
 	return c.account.Rank
 }
 
-// identify sets the caller's account, or ends the request. Credentials that are present have to be valid even
-// on routes that need none.
+// identify sets the caller's account, or ends the request and returns false. Credentials that are present have
+// to be valid even on routes that need none.
 func (x *exchange) identify() bool {
 	if x.view.Accounts.IsEmpty() {
 		return true
@@ -111,8 +112,8 @@
 	x.refuse(causeStale, "the key may have been taken away since the configuration was last confirmed", staleRetry, nil)
 }
 
-// rejectUnknown ends a request that the configuration does not allow. If the configuration is too old, a newer
-// one may allow it, so that the request is refused with a retry time instead.
+// rejectUnknown ends a request whose key or route is not in the configuration. If the configuration is so old
+// that a newer one may contain it, the request is refused with a retry time instead of rejected.
 func (x *exchange) rejectUnknown(status int, reason string) {
 	if !x.view.Accounts.IsEmpty() && !isWithin(x.handler.Source.ConfirmationAge(), x.handler.Limits.Reject) {
 		x.refuse(causeStale, reason+", and may have been added since", staleRetry, nil)
--- a/entry/caller_test.go
+++ b/entry/caller_test.go
@@ -32,7 +32,7 @@
 	return h
 }
 
-// askAs sends a request with the given credentials.
+// sendAs sends a request with the given values of the Authorization header, and a forged account header.
 func (h *harness) sendAs(credentials ...string) *http.Response {
 	request := httptest.NewRequest(http.MethodGet, "/x/1", nil)
 	request.Host = "a.example"
@@ -127,7 +127,7 @@
 	}
 }
 
-// Requests without a key are served whatever the configuration's age.
+// Requests that need no account are served whatever the configuration's age.
 func TestOpenRouteIsServedWithStaleConfiguration(t *testing.T) {
 	h := newAccountHarness(t, success(http.StatusOK))
 	h.route.Open = true
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -35,7 +35,7 @@
 	hang bool
 }
 
-// sender is a Sender that plays steps in order.
+// sender is a Sender that returns the results of its steps in order.
 type sender struct {
 	steps []step
 	sent  []link.Request
@@ -87,14 +87,15 @@
 	return s.age()
 }
 
-// harness is a handler for one route, by default with two servers, each in its own failure domain.
+// harness creates handlers for one route and sends requests to them. By default there are two servers, each in
+// its own failure domain.
 type harness struct {
 	c       *qt.C
 	servers int
 	view    *catalog.View
 	// serving is the handler for all requests; if it is nil, each request gets a new one.
 	serving http.Handler
-	watch   *quarantine.Monitor
+	monitor *quarantine.Monitor
 	sender  *sender
 	log     *strings.Builder
 	// key is the affinity key of requests, or "".
@@ -102,30 +103,30 @@
 	// age returns the configuration age; nil means 0.
 	age    func() time.Duration
 	limits entry.AgeLimits
-	// accounts are the client accounts in the operator's format, if there are any.
+	// accounts are the client accounts as the operator writes them, by name; nil means that there are none.
 	accounts map[string]any
 	route    lovageyard.Route
 	quota    scriptedQuota
-	// observes makes the dispatch table observe the backpressure of answers.
+	// observes passes the backpressure in answers to the dispatch table.
 	observes bool
 	// live makes the handler use the current view instead of the one at its creation.
 	live bool
 }
 
-// limit is a scripted Quota that counts returned admissions.
+// scriptedQuota is a Quota that refuses requests of accounts if refuses is set, and counts returned admissions.
 type scriptedQuota struct {
 	refuses  bool
 	returned int
 }
 
-func (l *scriptedQuota) Admit(_ context.Context, a *lovageyard.Account) quota.Decision {
-	if l.refuses && a != nil {
+func (q *scriptedQuota) Admit(_ context.Context, a *lovageyard.Account) quota.Decision {
+	if q.refuses && a != nil {
 		return quota.Decision{Verdict: quota.Refused, RetryAfter: time.Second}
 	}
 	return quota.Decision{Verdict: quota.Admitted}
 }
 
-func (l *scriptedQuota) Return(*lovageyard.Account) { l.returned++ }
+func (q *scriptedQuota) Return(*lovageyard.Account) { q.returned++ }
 
 // View returns the current view.
 func (h *harness) View() *catalog.View { return h.view }
@@ -175,8 +176,8 @@
 	for n := range h.servers {
 		domain := fmt.Sprint("north-", n+1)
 		regions[domain] = "north"
-		entry := fmt.Sprintf(`{"Addr":"127.0.0.1:9","Info":{"Service":"desk","Version":"v1","Zone":"%s","Slots":4},"Status":{"State":"ready","Sequence":1,"ColdLeftMs":0}}`, domain)
-		rows = append(rows, lovageyard.Row{Table: lovageyard.TableServers, Key: fmt.Sprint("i-", n+1), Version: 1, Value: []byte(entry)})
+		server := fmt.Sprintf(`{"Addr":"127.0.0.1:9","Info":{"Service":"desk","Version":"v1","Zone":"%s","Slots":4},"Status":{"State":"ready","Sequence":1,"ColdLeftMs":0}}`, domain)
+		rows = append(rows, lovageyard.Row{Table: lovageyard.TableServers, Key: fmt.Sprint("i-", n+1), Version: 1, Value: []byte(server)})
 	}
 	state := catalog.NewState(platform.Decoder{Regions: regions})
 	state.ApplyList(lovageyard.TableOrders, lovageyard.Changes{To: 1, Rows: []lovageyard.Row{
@@ -211,10 +212,10 @@
 
 // quarantine returns the handler's quarantine.Monitor.
 func (h *harness) quarantine(logger *logrus.Logger) *quarantine.Monitor {
-	w := quarantine.NewMonitor(quarantine.Settings{Prober: running{}, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
-	h.c.Cleanup(w.Close)
-	h.watch = w
-	return w
+	m := quarantine.NewMonitor(quarantine.Settings{Prober: running{}, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
+	h.c.Cleanup(m.Close)
+	h.monitor = m
+	return m
 }
 
 func (h *harness) send(method, target, body string) *http.Response {
@@ -271,8 +272,8 @@
 		steps      []step
 		status     int
 		attempts   int
-		// cause is a part of the log line.
-		cause string
+		// logPart is a part of the log line.
+		logPart string
 	}{
 		{"answered", true, []step{success(200)}, 200, 1, `"outcome":"answered"`},
 		{"answered with the server's refusal", false, []step{success(404)}, 404, 1, `"outcome":"answered"`},
@@ -302,7 +303,7 @@
 			response := h.send(http.MethodGet, "/x/a%2Fb?q", "")
 			h.c.Assert(response.StatusCode, qt.Equals, test.status)
 			h.c.Assert(h.sender.sent, qt.HasLen, test.attempts)
-			h.c.Assert(h.log.String(), qt.Contains, test.cause)
+			h.c.Assert(h.log.String(), qt.Contains, test.logPart)
 			h.c.Assert(h.log.String(), qt.Contains, `"request-id":"id-1"`)
 			servers := make(map[string]bool)
 			for _, sent := range h.sender.sent {
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -24,12 +24,12 @@
 	// answerMargin is subtracted from the client's deadline, so that a response of this instance still arrives
 	// in time.
 	answerMargin = 10 * time.Millisecond
-	// answerGrace is how long after a route's timeout an answer may still arrive that the server had ready in
-	// time; operators tolerate a quarter of a second.
+	// answerGrace is how long after a route's timeout an answer may still arrive, if the server had it ready
+	// in time; operators tolerate a quarter of a second.
 	answerGrace = 170 * time.Millisecond
-	// maxBrokenConnections is the number of servers that may close the connection of one request before it is
-	// not sent to another server. An innocent request hardly meets two crashes, and one that crashes servers
-	// would crash the next one with everything in flight there.
+	// maxBrokenConnections is the number of lost connections after which a request is not sent to another
+	// server. A harmless request is rarely in flight at two crashes; one that crashes servers would crash the
+	// next one as well, and fail every request in flight there.
 	maxBrokenConnections = 2
 	// statusClientGone is logged for a request whose client disconnected.
 	statusClientGone = 499
@@ -59,7 +59,7 @@
 		if choice.Cause == dispatch.CauseBackpressure {
 			x.retryAfter = choice.RetryAfter
 		}
-		if !x.takeRetry(choice) {
+		if !x.admitRetry(choice) {
 			x.finish(ctx, a)
 			return
 		}
@@ -67,8 +67,8 @@
 	}
 }
 
-// takeRetry reports whether a retry may go to the chosen server. It cancels the choice if not.
-func (x *exchange) takeRetry(choice dispatch.Choice) bool {
+// admitRetry reports whether a retry may go to the chosen server. It cancels the choice if not.
+func (x *exchange) admitRetry(choice dispatch.Choice) bool {
 	if choice.Refused {
 		return false
 	}
@@ -79,7 +79,7 @@
 	return false
 }
 
-// spendRetry takes one retry from the budget that all instances share, if any is left.
+// spendRetry takes one retry from the service's retry budget, and returns false if none is left.
 func (x *exchange) spendRetry() bool {
 	if x.handler.Dispatch.TakeRetry(x.service, x.handler.Timer.Now()) {
 		x.handler.Metrics.Count(meter.Retries, x.label())
@@ -111,9 +111,9 @@
 		Tried:    x.tried,
 	}
 	if x.brokenConnections > 0 || x.evaluate().Suspect {
-		// Requests that were in flight on a crashed server often are for one object. They are sent to
-		// different servers now: on one server they would crash together again, and the cause could not be
-		// identified.
+		// Requests that were in flight on a crashed server are often for one object. They are sent to
+		// different servers now: on a single server they would be in flight at its crash together again, and
+		// the cause could not be identified.
 		r.HashOverride = x.fingerprint
 	}
 	return x.handler.Dispatch.Choose(r)
@@ -144,7 +144,6 @@
 	return a
 }
 
-// reportToQuarantine reports the outcome of an attempt to the quarantine.
 func (x *exchange) reportToQuarantine(a *attempt) {
 	q := x.handler.Quarantine
 	if a.err != nil && a.err.ConnectionLost {
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -123,13 +123,13 @@
 	deadline       time.Time
 	answerDeadline time.Time
 	tried          []string
-	// brokenConnections counts the servers that closed the connection of the request.
+	// brokenConnections counts the attempts whose connection was lost.
 	brokenConnections int
 	// cause is the reason of a refusal for metrics and logs, or "".
 	cause string
 	// ran reports whether an attempt may have run the request.
 	ran bool
-	// retryAfter is when a server accepts the request again, if all others have requested backoff.
+	// retryAfter is the time until a server accepts requests again, if every server has requested backoff.
 	retryAfter time.Duration
 	// failedAttempt is the last attempt whose server answered with a failure of its own, or nil.
 	failedAttempt *attempt
@@ -153,7 +153,7 @@
 		x.reject(status, err.Error())
 		return
 	}
-	// Reading the body may have taken long.
+	// The key may have been revoked while the body was read.
 	if !x.keyIsValid() {
 		x.rejectRevoked()
 		return
@@ -187,8 +187,8 @@
 	return x.handler.Quarantine.Evaluate(x.fingerprint)
 }
 
-// outlivesInstance reports whether the request may last longer than this instance, which is shutting down. It
-// would be cut off while the server runs it; another instance accepts it immediately.
+// outlivesInstance reports whether this instance is shutting down and may exit before the request has its
+// answer. The request would be cut off while the server runs it; another instance accepts it immediately.
 func (x *exchange) outlivesInstance() bool {
 	return x.view.Leaving && x.answerDeadline.After(x.view.ShutdownAt)
 }
--- a/entry/log.go
+++ b/entry/log.go
@@ -76,15 +76,15 @@
 	}
 }
 
-// addBackpressure adds what the server has requested in its answer.
-func addBackpressure(fields logrus.Fields, n lovageyard.Backpressure) {
-	if n.Limited {
-		fields["server-limit"] = n.Limit
+// addBackpressure adds the backpressure that the server signaled in its answer.
+func addBackpressure(fields logrus.Fields, b lovageyard.Backpressure) {
+	if b.Limited {
+		fields["server-limit"] = b.Limit
 	}
-	if n.Leaving {
+	if b.Leaving {
 		fields["server-leaving"] = true
 	}
-	if n.Backoff > 0 {
-		fields["server-backoff-ms"] = n.Backoff.Milliseconds()
+	if b.Backoff > 0 {
+		fields["server-backoff-ms"] = b.Backoff.Milliseconds()
 	}
 }
--- a/entry/lookup.go
+++ b/entry/lookup.go
@@ -29,7 +29,7 @@
 	query := platform.ParseLookUpQuery(r.URL.Query())
 	view := d.Source.View()
 	if !view.Ready {
-		// The client then asks the next instance, which has a more complete view.
+		// The client then asks the next instance, which may have a more complete view.
 		http.Error(w, "this instance is not ready", http.StatusServiceUnavailable)
 		return
 	}
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -18,19 +18,19 @@
 }
 
 // Observe applies the backpressure in the answer to a request that was sent at sentAt.
-func (o *BackpressureObserver) Observe(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time) {
-	change := o.Dispatch.Observe(s, n, sentAt, o.Timer.Now())
+func (o *BackpressureObserver) Observe(s lovageyard.BackendServer, b lovageyard.Backpressure, sentAt time.Time) {
+	change := o.Dispatch.Observe(s, b, sentAt, o.Timer.Now())
 	log := o.Logger.WithField("server", s.Name)
 	if change.Leaving {
 		log.Info("a server says that it leaves")
 	}
 	if change.Backoff {
-		log.WithField("server-backoff-ms", n.Backoff.Milliseconds()).Info("server requested backoff")
+		log.WithField("server-backoff-ms", b.Backoff.Milliseconds()).Info("server requested backoff")
 	}
 	if change.Limit {
-		fields := logrus.Fields{"limited": n.Limited}
-		if n.Limited {
-			fields["server-limit"] = n.Limit
+		fields := logrus.Fields{"limited": b.Limited}
+		if b.Limited {
+			fields["server-limit"] = b.Limit
 		}
 		log.WithFields(fields).Info("server limit changed")
 	}
--- a/entry/notice_test.go
+++ b/entry/notice_test.go
@@ -52,11 +52,11 @@
 	h.c.Assert(h.sender.sent, qt.HasLen, 1)
 }
 
-// A withheld request does not count against its server.
-func TestWithheldRequestDoesNotCountAgainstServer(t *testing.T) {
-	withheld := lovageyard.NotRun("not wanted", nil)
-	withheld.Throttled = true
-	h := newHarnessOf(t, 1, step{err: withheld}, success(200))
+// A request that was not sent because of the server's backpressure does not count as a failure of the server.
+func TestThrottledRequestDoesNotCountAgainstServer(t *testing.T) {
+	throttled := lovageyard.NotRun("not wanted", nil)
+	throttled.Throttled = true
+	h := newHarnessOf(t, 1, step{err: throttled}, success(200))
 	h.serving = h.handler()
 	h.c.Assert(h.send(http.MethodGet, "/x/", "").StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	h.c.Assert(h.send(http.MethodGet, "/x/", "").StatusCode, qt.Equals, http.StatusOK)
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -19,7 +19,8 @@
 	return step{err: err}
 }
 
-// newQuarantineHarness returns a harness with nine servers whose quarantine persists across requests.
+// newQuarantineHarness returns a harness with nine servers. All requests go to one handler, so that its
+// quarantine persists across them.
 func newQuarantineHarness(t *testing.T, idempotent bool, attempts int, steps ...step) *harness {
 	h := newHarnessOf(t, 9, steps...)
 	h.setRoute(lovageyard.Route{
@@ -66,16 +67,16 @@
 	bystander := quarantine.Content{Method: http.MethodGet, Host: "a.example", Target: "/x/beside"}.Fingerprint()
 	for n := range 3 {
 		h.send(http.MethodGet, "/x/deadly", "")
-		h.watch.RecordLoss(lovageyard.BackendServer{Name: h.sender.sent[n].Server}, bystander, time.Now())
+		h.monitor.RecordLoss(lovageyard.BackendServer{Name: h.sender.sent[n].Server}, bystander, time.Now())
 	}
-	h.c.Assert(h.watch.Evaluate(bystander).Suspect, qt.IsTrue)
+	h.c.Assert(h.monitor.Evaluate(bystander).Suspect, qt.IsTrue)
 	h.c.Assert(h.send(http.MethodGet, "/x/beside", "").StatusCode, qt.Equals, http.StatusOK)
 	h.c.Assert(h.send(http.MethodGet, "/x/deadly", "").StatusCode, qt.Equals, http.StatusServiceUnavailable)
-	h.c.Assert(h.watch.Evaluate(bystander), qt.Equals, quarantine.Decision{})
+	h.c.Assert(h.monitor.Evaluate(bystander), qt.Equals, quarantine.Decision{})
 }
 
-// Requests for one object were in flight when its server crashed. On their next attempts they go to several
-// servers, as on one server they could crash it together.
+// Requests for one object that were in flight when its server crashed are spread over several servers when
+// clients repeat them: together they could crash the next server too, and hide which of them is the cause.
 func TestRequestsOfCrashedServerAreSpread(t *testing.T) {
 	const count = 6
 	var steps []step
@@ -96,9 +97,9 @@
 	crashed := lovageyard.BackendServer{Name: "ended"}
 	for n := range count {
 		content := quarantine.Content{Method: http.MethodGet, Host: "a.example", Target: path(n)}
-		h.watch.RecordLoss(crashed, content.Fingerprint(), time.Now())
+		h.monitor.RecordLoss(crashed, content.Fingerprint(), time.Now())
 	}
-	h.watch.RecordCrash(crashed)
+	h.monitor.RecordCrash(crashed)
 	h.c.Assert(len(send()) > 1, qt.IsTrue)
 	// Once they have succeeded, the object has its home server again.
 	h.c.Assert(send(), qt.HasLen, 1)
