--- a/control/control.go
+++ b/control/control.go
@@ -63,8 +63,8 @@
 	Recorder  lovageyard.Recorder
 	Logger    *logrus.Logger
 	Metrics   metrics.Registry
-	// SeedPeers lists addresses of peers to contact while no other instance is known, so that an
-	// instance can start while the platform is unreachable.
+	// SeedPeers lists addresses of peers to contact while no configuration or no neighbour is
+	// known, so that an instance can start while the platform is unreachable.
 	SeedPeers     []string
 	LookUpTTL     time.Duration
 	Headroom      float64
@@ -94,14 +94,16 @@
 	listedAt            time.Time
 	relayReplyAt        time.Time
 	index               *class.Index
-	classes             map[string]*classState
-	pools               map[poolKey]*pool
-	marks               map[poolServer]lovageyard.InstanceState
-	reports             map[string]*report
-	planners            map[string]*planner
-	nextDue             map[string]time.Time
-	random              *rand.Rand
-	dirty               bool
+	// The maps are keyed by class, pool, server, reporter, service and action.
+	classes  map[string]*classState
+	pools    map[poolKey]*pool
+	marks    map[poolServer]lovageyard.InstanceState
+	reports  map[string]*report
+	planners map[string]*planner
+	nextDue  map[string]time.Time
+	random   *rand.Rand
+	// dirty reports that the state has changed since the last snapshot was published.
+	dirty bool
 	// tickedAt and steppedAt are the times of the last ticks that were processed.
 	tickedAt  time.Time
 	steppedAt time.Time
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -74,7 +74,7 @@
 }
 
 // instancePorts is an instance's connection to the platform and its peers. It fails while the
-// instance is partitioned.
+// instance is partitioned; calls of the platform also fail while that is down.
 type instancePorts struct {
 	*memory.Store
 	cluster *testCluster
@@ -195,11 +195,11 @@
 	fault()
 }
 
-func (cl *testCluster) putClass(name string, limit float64) {
+func (cl *testCluster) putClass(name string, moveCap float64) {
 	value, err := json.Marshal(lovageyard.Class{
 		Name: name, Service: "desk", Match: []lovageyard.Match{{PathPrefix: "/"}},
 		Deadline: lovageyard.Duration(time.Second),
-		Target:   lovageyard.Target{Cap: limit, Interval: lovageyard.Duration(time.Second)},
+		Target:   lovageyard.Target{Cap: moveCap, Interval: lovageyard.Duration(time.Second)},
 	})
 	cl.c.Assert(err, qt.IsNil)
 	cl.write(lovageyard.Write{Table: lovageyard.TableClasses, Key: name, Value: value})
@@ -368,7 +368,7 @@
 	cl.c.Assert(cl.status("a1-3").Pools, qt.HasLen, 3, qt.Commentf("the listing is also received from peers"))
 }
 
-func TestCutOffInstanceCatchesUp(t *testing.T) {
+func TestPartitionedInstanceCatchesUp(t *testing.T) {
 	cl := newTestCluster(t)
 	cl.startAll()
 	cl.putClass("lookups", 0.5)
@@ -384,7 +384,7 @@
 	cl.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
 }
 
-func TestRelayKilled(t *testing.T) {
+func TestClassIsPlacedAfterRelayIsKilled(t *testing.T) {
 	cl := newTestCluster(t)
 	cl.startAll()
 	cl.putClass("lookups", 0.5)
@@ -407,7 +407,7 @@
 	cl.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
 }
 
-func TestLeave(t *testing.T) {
+func TestLeavingInstanceIsRemovedFromLookUps(t *testing.T) {
 	cl := newTestCluster(t)
 	cl.startAll()
 	cl.putClass("lookups", 0.5)
@@ -464,9 +464,9 @@
 	})
 }
 
-// TestFailoverUsesTheCapAtRest guards against a limiter that is only updated during moves: when a
+// TestFailoverIsCappedWithoutMove guards against a limiter that is only updated during moves: when a
 // site fails without a move in progress, the cap must apply to the current demand.
-func TestFailoverUsesTheCapAtRest(t *testing.T) {
+func TestFailoverIsCappedWithoutMove(t *testing.T) {
 	cl := newTestCluster(t)
 	cl.startAll()
 	cl.putClass("lookups", 0.5)
@@ -476,10 +476,10 @@
 	const rounds, perRound = 150, 20
 	forced := 0
 	for n := range rounds {
-		work := c.Snapshot().ClassRoute("lookups")
+		classRoute := c.Snapshot().ClassRoute("lookups")
 		for range perRound {
-			work.CountRequest(place, home)
-			if n >= rounds/2 && work.Limiter.AllowFailover() {
+			classRoute.CountRequest(place, home)
+			if n >= rounds/2 && classRoute.Limiter.AllowFailover() {
 				forced++
 			}
 		}
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -158,8 +158,8 @@
 		c.receiveListing(listing, now.Add(-age))
 	}
 	c.newestBlocksVersion = max(c.newestBlocksVersion, m.reply.GetBlocksVersion())
-	if zipped := m.reply.GetBlocks(); len(zipped) > 0 {
-		c.receiveBlocks(zipped, m.reply.GetBlocksVersion())
+	if compressed := m.reply.GetBlocks(); len(compressed) > 0 {
+		c.receiveBlocks(compressed, m.reply.GetBlocksVersion())
 	}
 	if slices.Contains(c.relays(), from.Name) {
 		c.relayReplyAt = now
@@ -175,7 +175,8 @@
 	c.applyChanges(changes)
 }
 
-// receiveListing applies a listing that a peer read from the platform, if it is newer.
+// receiveListing applies a listing that a peer has sent, if it was read more recently than the
+// current one.
 func (c *Control) receiveListing(data []byte, readAt time.Time) {
 	var l lovageyard.Listing
 	if !readAt.After(c.listedAt) || json.Unmarshal(data, &l) != nil {
@@ -237,26 +238,26 @@
 func (m exchangeQuery) Apply(c *Control) {
 	r := m.request
 	c.applyGossip(r.GetFrom(), r.GetMembers(), r.GetMarks())
-	response := &wire.ExchangeReply{
+	reply := &wire.ExchangeReply{
 		From:    peer.FromMember(c.self),
 		Members: c.wireMembers(),
 		Marks:   c.wireMarks(),
 	}
-	response.BlocksVersion = c.blocksVersion
+	reply.BlocksVersion = c.blocksVersion
 	if r.GetWantBlocks() && r.GetBlocksVersion() < c.blocksVersion {
-		response.Blocks = c.compressedBlocks
+		reply.Blocks = c.compressedBlocks
 	}
 	if r.GetVersion() < c.config.Version() {
-		response.Changes = peer.FromChanges(c.config.Since(r.GetVersion()))
+		reply.Changes = peer.FromChanges(c.config.Since(r.GetVersion()))
 	}
 	if r.GetWantApplied() {
-		response.Applied = c.wireApplied()
+		reply.Applied = c.wireApplied()
 	}
 	if r.GetWantListing() && len(c.listing.BackendServers) > 0 {
-		response.Listing, _ = json.Marshal(c.listing)
-		response.ListingAgeMs = c.settings.Timer.Now().Sub(c.listedAt).Milliseconds()
+		reply.Listing, _ = json.Marshal(c.listing)
+		reply.ListingAgeMs = c.settings.Timer.Now().Sub(c.listedAt).Milliseconds()
 	}
-	m.reply <- response
+	m.reply <- reply
 }
 
 func (c *Control) wireApplied() []*wire.Applied {
--- a/control/grants.go
+++ b/control/grants.go
@@ -43,14 +43,14 @@
 // serviceLoad returns the capacity of a service at a site and its planned load.
 func (c *Control) serviceLoad(v *view, key poolKey, typical float64) grant.ServiceLoad {
 	p := c.pools[key]
-	service := v.serviceTime(key, typical)
+	serviceTime := v.serviceTime(key, typical)
 	s := grant.ServiceLoad{
 		Service:  key.service,
 		Site:     key.site,
-		Measured: v.reportAge(key) < placement.FreshAge && service > 0 && v.alive(key, p),
+		Measured: v.reportAge(key) < placement.FreshAge && serviceTime > 0 && v.alive(key, p),
 	}
-	if service > 0 {
-		s.Capacity = float64(v.slots(key, p)) / service * (1 - c.settings.Headroom)
+	if serviceTime > 0 {
+		s.Capacity = float64(v.slots(key, p)) / serviceTime * (1 - c.settings.Headroom)
 	}
 	for _, k := range c.index.All() {
 		if k.Service == key.service {
--- a/control/platform.go
+++ b/control/platform.go
@@ -32,12 +32,12 @@
 
 // Poll reads the platform's changes immediately, for example after an operator's write.
 func (c *Control) Poll() {
-	c.inbox.Post(pollQuery{})
+	c.inbox.Post(pollMessage{})
 }
 
-type pollQuery struct{}
+type pollMessage struct{}
 
-func (pollQuery) Apply(c *Control) {
+func (pollMessage) Apply(c *Control) {
 	c.poll()
 }
 
@@ -113,16 +113,16 @@
 			return blocksResult{err: err}
 		}
 		table, err := block.Decode(object.Body)
-		return blocksResult{table: table, zipped: peer.Compress(object.Body), version: object.Version, err: err}
+		return blocksResult{table: table, compressed: peer.Compress(object.Body), version: object.Version, err: err}
 	})
 }
 
 // blocksResult is a block table read from the platform or received from a peer.
 type blocksResult struct {
-	table   *block.Table
-	zipped  []byte
-	version int64
-	err     error
+	table      *block.Table
+	compressed []byte
+	version    int64
+	err        error
 }
 
 func (m blocksResult) Apply(c *Control) {
@@ -134,20 +134,20 @@
 		return
 	}
 	c.blocks = m.table
-	c.compressedBlocks = m.zipped
+	c.compressedBlocks = m.compressed
 	c.blocksVersion = m.version
 	c.dirty = true
 	c.settings.Logger.WithField("blocks", m.table.Len()).Info("block table updated")
 }
 
 // receiveBlocks decodes and applies a block table from a peer.
-func (c *Control) receiveBlocks(zipped []byte, version int64) {
+func (c *Control) receiveBlocks(compressed []byte, version int64) {
 	c.inbox.Call("decode blocks", func(context.Context) message {
-		body, err := peer.Decompress(zipped)
+		body, err := peer.Decompress(compressed)
 		if err != nil {
 			return blocksResult{err: err}
 		}
 		table, err := block.Decode(body)
-		return blocksResult{table: table, zipped: zipped, version: version, err: err}
+		return blocksResult{table: table, compressed: compressed, version: version, err: err}
 	})
 }
--- a/control/pools.go
+++ b/control/pools.go
@@ -35,7 +35,7 @@
 }
 
 // setListing applies the platform's list. A server that is no longer listed gets no new
-// requests. An empty list of servers is assumed to be a fault and changes nothing.
+// requests. An empty list of servers is assumed to be a fault and leaves the pools unchanged.
 func (c *Control) setListing(l lovageyard.Listing, readAt time.Time) {
 	now := c.settings.Timer.Now()
 	c.members.ApplyList(l.EntryInstances, now)
@@ -96,7 +96,8 @@
 	}
 }
 
-// setPoolInstances sets, for each pool, the number of entry instances that share its servers.
+// setPoolInstances sets, for each pool, the number of entry instances that share its servers:
+// those of the pool's failure domain, and this one.
 func (c *Control) setPoolInstances() {
 	inDomain := make(map[string]int)
 	for _, i := range c.members.Live() {
@@ -126,6 +127,7 @@
 	})
 }
 
+// serverMark sets the state of a server that was reported to be leaving, or to be live again.
 type serverMark struct {
 	poolServer
 	state lovageyard.InstanceState
--- a/control/report.go
+++ b/control/report.go
@@ -25,8 +25,8 @@
 	report *wire.DemandReport
 }
 
-// sendReport sends this instance's measured demand to the relay of its failure domain. The
-// relay itself sends the demand of the whole failure domain to the planners.
+// sendReport sends this instance's measured demand to the first relay of its failure domain. That
+// relay itself merges the reports and sends the sum to the candidates for the planner leases.
 func (c *Control) sendReport(now time.Time) {
 	own := c.ownReport(now)
 	relays := c.relays()
@@ -164,7 +164,7 @@
 		}
 	}
 	for _, name := range order {
-		merged.Classes = append(merged.Classes, classes[name].wire(name))
+		merged.Classes = append(merged.Classes, classes[name].toWire(name))
 	}
 	for _, k := range c.sortedPools() {
 		if s := sites[k]; s != nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-func (s *demandSum) wire(class string) *wire.ClassDemand {
+func (s *demandSum) toWire(class string) *wire.ClassDemand {
 	d := &wire.ClassDemand{Class: class}
 	for name, buckets := range s.homes {
 		d.Homes = append(d.Homes, &wire.HomeDemand{FailureDomain: name, Buckets: peer.FromRates(buckets[:])})
--- a/control/view.go
+++ b/control/view.go
@@ -99,8 +99,8 @@
 			Age:           v.reportAge(key),
 			OtherLoad:     v.otherLoad(k, key.site),
 		}
-		if service := v.serviceTime(key, typical); service > 0 {
-			s.Capacity = float64(v.slots(key, p)) / service
+		if serviceTime := v.serviceTime(key, typical); serviceTime > 0 {
+			s.Capacity = float64(v.slots(key, p)) / serviceTime
 		}
 		sites = append(sites, s)
 	}
@@ -151,8 +151,9 @@
 	return sum / count
 }
 
-// alive reports whether a pool is considered alive: by the report of the site's own failure
-// domain if there is a recent one, otherwise by a majority of the recent reports.
+// alive reports whether a pool is considered alive. A recent report of the site's own failure
+// domain decides. Without one, the pool is alive if it has servers and no majority of the recent
+// reports contradicts.
 func (v *view) alive(k poolKey, p *pool) bool {
 	votes := 0
 	for _, s := range v.observations[k] {
--- a/control/works.go
+++ b/control/works.go
@@ -218,7 +218,7 @@
 }
 
 // initPlacement sets a class's first placement from the plan when no neighbour has reported what
-// is applied: at the plan's first step, or after a timeout.
+// is applied: at the plan's first step, or after a timeout, which is shorter without neighbours.
 func (c *Control) initPlacement(cs *classState, neighbours []instance.Member, now time.Time) {
 	if cs.stepper.Initialized() {
 		return
