--- a/charge/book.go
+++ b/charge/book.go
@@ -24,8 +24,8 @@
 	backlogSize     = 4096
 )
 
-// reasonUnclaimed says what the verdict covers: this request has not run, but an earlier one with the same key
-// may have.
+// reasonUnclaimed tells callers that the verdict covers only this request; an earlier one with the same key may
+// have run.
 const reasonUnclaimed = "the key could not be claimed, so that this request was not sent; of earlier requests with the key nothing is known now"
 
 // Errors of Claim other than *lovageyard.RequestError.
@@ -37,6 +37,7 @@
 // HeldClaim is a claim that this instance holds. It permits the instance to send the request.
 type HeldClaim struct {
 	Claim
+	// version is the version of the claim's row, or 0 if it is not known whether the row exists.
 	version int64
 }
 
@@ -58,8 +59,8 @@
 	since time.Time
 }
 
-// NewStore returns a store whose claims carry a holder's name, which has to be unique to this incarnation of
-// the instance. Close releases its resources.
+// NewStore returns a store. The holder's name is part of its claims, and has to be unique to this incarnation
+// of the instance. Close releases the store's resources.
 func NewStore(table lovageyard.Table, timer lovageyard.Timer, holder string) *Store {
 	s := &Store{
 		table:   table,
@@ -72,7 +73,7 @@
 	return s
 }
 
-// Close stops the retries and waits until they have returned.
+// Close stops the retries and waits for the one in progress. Updates that are still in the backlog are dropped.
 func (s *Store) Close() {
 	close(s.stop)
 	s.worker.Wait()
@@ -87,8 +88,9 @@
 	SendBefore time.Time
 }
 
-// Claim claims a key. It returns the held claim, or the answer of an earlier run, or an error: ErrKeyReused,
-// or a *lovageyard.RequestError whose verdict is on all requests with the key.
+// Claim claims a key. It returns the held claim, or the answer of an earlier run, or an error: ErrKeyReused, or
+// a *lovageyard.RequestError. Its verdict is VerdictMayHaveRun if another request with the key may have run,
+// and VerdictNotRun if only this request is known not to have run.
 func (s *Store) Claim(ctx context.Context, r Request) (*HeldClaim, *Answer, error) {
 	next := Claim{
 		Key:        r.Key,
@@ -238,8 +240,8 @@
 	})
 }
 
-// enqueue schedules an update for a retry. If the backlog is full the update is dropped; the claim then
-// becomes unknown by its age.
+// enqueue schedules an update for a retry. If the backlog is full the update is dropped; the claim's state then
+// is Unknown once its SendBefore has passed.
 func (s *Store) enqueue(w pendingWrite) {
 	select {
 	case s.backlog <- w:
@@ -320,8 +322,8 @@
 	return c, row.Version, err
 }
 
-// Settle returns an unknown claim as settled by an operator, as having run or not. It returns an error if the
-// claim is not unknown.
+// Settle returns an unknown claim with the outcome that an operator has determined: the request ran, or it did
+// not. The caller has to write it. Settle returns an error if the claim is not unknown.
 func Settle(c Claim, ran bool, operator string, now time.Time) (Claim, error) {
 	c.State = c.StateAt(now)
 	if c.State != Unknown {
--- a/charge/book_test.go
+++ b/charge/book_test.go
@@ -62,6 +62,7 @@
 	return f.Store.Read(ctx, table, key)
 }
 
+// harness is a table with the stores of two instances.
 type harness struct {
 	c     *qt.C
 	table *faultyTable
@@ -78,12 +79,13 @@
 	return h
 }
 
-func (h *harness) claim(b *Store, hash string) (*HeldClaim, *Answer, error) {
-	return b.Claim(context.Background(), Request{
+func (h *harness) claim(s *Store, hash string) (*HeldClaim, *Answer, error) {
+	return s.Claim(context.Background(), Request{
 		Class: "charges", Key: "key-1", Hash: hash, SendBefore: h.clock.Now().Add(3 * time.Second),
 	})
 }
 
+// state returns the state of the claim's row, or "" if there is none.
 func (h *harness) state() State {
 	c, _, err := Get(context.Background(), h.table.Store, RowKey("charges", "key-1"))
 	if err != nil {
@@ -197,7 +199,7 @@
 		h.clock.Advance(retryInterval / 10)
 		time.Sleep(time.Millisecond)
 	}
-	h.c.Fatal("the condition did not come about")
+	h.c.Fatal("the condition was not met")
 }
 
 // TestConcurrentClaims claims one key many times concurrently; exactly one request gets it.
@@ -207,11 +209,11 @@
 	holders := make(chan *HeldClaim, 20)
 	for n := range 20 {
 		claimers.Go(func() {
-			book := h.a
+			store := h.a
 			if n%2 == 0 {
-				book = h.b
+				store = h.b
 			}
-			if claim, _, _ := h.claim(book, "hash"); claim != nil {
+			if claim, _, _ := h.claim(store, "hash"); claim != nil {
 				holders <- claim
 			}
 		})
@@ -239,6 +241,7 @@
 	}
 }
 
+// A charge costs two writes: one for the claim, one for the answer.
 func TestWritesPerCharge(t *testing.T) {
 	h := newHarness(t)
 	claim, _, err := h.claim(h.a, "hash")
