--- a/caller/answer.go
+++ b/caller/answer.go
@@ -24,7 +24,7 @@
 }}
 
 // forwardAnswer forwards an answer to the caller: a small one once it is complete, a longer one as it arrives.
-// It calls done once the backend server has finished the answer.
+// It calls done once the answer has ended, with true if the backend server broke it off.
 func (x *exchange) forwardAnswer(response *http.Response, done func(failed bool)) *attemptError {
 	var buffered []byte
 	complete := false
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// brokenAnswer is an error on the backend server's side of an answer.
+// brokenAnswer is an error of reading the backend server's answer, as opposed to writing to the caller.
 type brokenAnswer struct {
 	error
 }
@@ -147,7 +147,7 @@
 func (x *exchange) recordResult(response *http.Response, err error) {
 	x.count("answered")
 	took := x.handler.timer.Now().Sub(x.began)
-	x.observe(took)
+	x.observeDuration(took)
 	if err != nil {
 		x.count("cut")
 		x.record(nil, statusClientGone)
@@ -156,6 +156,6 @@
 	x.record(nil, response.StatusCode)
 }
 
-func (x *exchange) observe(took time.Duration) {
+func (x *exchange) observeDuration(took time.Duration) {
 	metrics.GetOrRegisterTimer("class."+x.classRoute.Class.Name+".duration", x.handler.metrics).Update(took)
 }
--- a/caller/body.go
+++ b/caller/body.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// maxBuffered is the size up to which a body is buffered, so that it can be sent again or forwarded as a
-// whole.
+// maxBuffered is the size in bytes up to which a body is buffered, so that a request can be sent again or an
+// answer forwarded as a whole.
 const maxBuffered = 64 << 10
 
 // requestBody is a caller's body. It is read before a slot is acquired, so that a slow caller does not occupy
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -53,20 +53,20 @@
 	leaving   []string
 }
 
-func (r *harness) Snapshot() *route.Snapshot {
-	return r.snapshot
+func (h *harness) Snapshot() *route.Snapshot {
+	return h.snapshot
 }
 
-func (r *harness) Record(d lovageyard.Decision) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.decisions = append(r.decisions, d)
+func (h *harness) Record(d lovageyard.Decision) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.decisions = append(h.decisions, d)
 }
 
-func (r *harness) ServerLeaving(_, _, name string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.leaving = append(r.leaving, name)
+func (h *harness) ServerLeaving(_, _, name string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.leaving = append(h.leaving, name)
 }
 
 func testClass(name, path string, idempotent bool) lovageyard.Class {
@@ -82,12 +82,12 @@
 
 // newHarness starts an HTTP server with the handler, for backend servers at the given addresses.
 func newHarness(t *testing.T, addresses ...string) *harness {
-	r := &harness{pool: server.NewPool(server.Settings{Mode: server.RoundRobin, QueuePerSlot: 1}, 1)}
+	h := &harness{pool: server.NewPool(server.Settings{Mode: server.RoundRobin, QueuePerSlot: 1}, 1)}
 	var list []lovageyard.BackendServer
 	for i, address := range addresses {
 		list = append(list, lovageyard.BackendServer{Name: fmt.Sprintf("server-%d", i+1), Address: address, Slots: 4, State: lovageyard.StateLive})
 	}
-	r.pool.SetServers(list)
+	h.pool.SetServers(list)
 	classes := []lovageyard.Class{testClass("charges", "/charges/", false), testClass("lookups", "/lookups/", true)}
 	blocks, err := block.NewTable([]block.Entry{{Prefix: netip.MustParsePrefix("198.51.100.0/24"), FailureDomain: "far"}})
 	if err != nil {
@@ -96,7 +96,7 @@
 	now := time.Now()
 	near := lovageyard.EntryInstance{Name: "near-1", FailureDomain: "near", CallerAddress: "near:1", State: lovageyard.StateLive}
 	far := lovageyard.EntryInstance{Name: "far-1", FailureDomain: "far", CallerAddress: "far:1", State: lovageyard.StateLive}
-	r.snapshot = &route.Snapshot{
+	h.snapshot = &route.Snapshot{
 		Version:     7,
 		DefaultHome: "near",
 		LookUpTTL:   5 * time.Second,
@@ -105,36 +105,36 @@
 		Directory:   instance.NewDirectory([]lovageyard.EntryInstance{far, near}),
 	}
 	for _, k := range classes {
-		gate := move.NewLimiter(k.Target.Cap, 100)
-		r.snapshot.ClassRoutes = append(r.snapshot.ClassRoutes, route.ClassRoute{
+		limiter := move.NewLimiter(k.Target.Cap, 100)
+		h.snapshot.ClassRoutes = append(h.snapshot.ClassRoutes, route.ClassRoute{
 			Class:           k,
-			Limiter:         gate,
-			FailoverLimiter: gate,
+			Limiter:         limiter,
+			FailoverLimiter: limiter,
 			RetryBudget:     server.NewRetryBudget(),
-			Sites:           []route.Site{{Name: "near", Pool: r.pool, Allowance: grant.NewTokenBucket(0, now), Local: true}},
+			Sites:           []route.Site{{Name: "near", Pool: h.pool, Allowance: grant.NewTokenBucket(0, now), Local: true}},
 		})
 	}
 	client := link.New(link.LoadHeaderCodec{}, timer.Clock{}, nil)
 	charges := charge.NewStore(memory.NewStore(), timer.Clock{}, "near-1/1")
 	handler := NewHandler(Settings{
-		Source:   r,
-		Observer: r,
+		Source:   h,
+		Observer: h,
 		Charges:  charges,
 		Backend:  client,
 		Timer:    timer.Clock{},
-		Recorder: r,
+		Recorder: h,
 		Metrics:  metrics.NewRegistry(),
 		Self:     lovageyard.EntryInstance{Name: "near-1", FailureDomain: "near"},
 	})
-	r.front = httptest.NewServer(handler)
-	r.client = r.front.Client()
+	h.front = httptest.NewServer(handler)
+	h.client = h.front.Client()
 	t.Cleanup(func() {
-		r.client.CloseIdleConnections()
-		r.front.Close()
+		h.client.CloseIdleConnections()
+		h.front.Close()
 		client.Close()
 		charges.Close()
 	})
-	return r
+	return h
 }
 
 // newBackend starts a scripted backend server and returns its address.
@@ -185,9 +185,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			var seconds atomic.Int64
+			var secondAttempts atomic.Int64
 			second := newBackend(t, func(w http.ResponseWriter, r *http.Request) {
-				seconds.Add(1)
+				secondAttempts.Add(1)
 				answerOK(w, r)
 			})
 			first := closedAddress()
@@ -195,13 +195,13 @@
 				first = newBackend(t, test.first)
 			}
 			// Round robin starts with the second server of the list.
-			r := newHarness(t, second, first)
-			response, err := r.client.Do(post(c, r.front.URL+test.path, "key-1", "body"))
+			h := newHarness(t, second, first)
+			response, err := h.client.Do(post(c, h.front.URL+test.path, "key-1", "body"))
 			c.Assert(err, qt.IsNil)
 			defer response.Body.Close()
 			c.Assert(response.StatusCode, qt.Equals, test.status)
 			c.Assert(response.Header.Get(lovageyard.VerdictHeader), qt.Equals, string(test.verdict))
-			c.Assert(seconds.Load(), qt.Equals, test.second)
+			c.Assert(secondAttempts.Load(), qt.Equals, test.second)
 			body, err := io.ReadAll(response.Body)
 			c.Assert(err, qt.IsNil)
 			if test.status == http.StatusOK {
@@ -216,7 +216,7 @@
 }
 
 func TestForwardRefusals(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	for _, test := range []struct {
 		name     string
 		path     string
@@ -230,10 +230,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			request, err := http.NewRequest(http.MethodGet, r.front.URL+test.path, nil)
+			request, err := http.NewRequest(http.MethodGet, h.front.URL+test.path, nil)
 			c.Assert(err, qt.IsNil)
 			request.Header.Set(lovageyard.DeadlineHeader, test.deadline)
-			response, err := r.client.Do(request)
+			response, err := h.client.Do(request)
 			c.Assert(err, qt.IsNil)
 			response.Body.Close()
 			c.Assert(response.StatusCode, qt.Equals, test.status)
@@ -245,15 +245,15 @@
 func TestForwardDeadline(t *testing.T) {
 	c := qt.New(t)
 	seen := make(chan string, 1)
-	r := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
+	h := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 		// A server detects a disconnected client only after it has read the body.
 		_, _ = io.Copy(io.Discard, r.Body)
 		seen <- r.Header.Get(lovageyard.DeadlineHeader)
 		<-r.Context().Done()
 	}))
-	request := post(c, r.front.URL+"/charges/1", "key-1", "x")
+	request := post(c, h.front.URL+"/charges/1", "key-1", "x")
 	request.Header.Set(lovageyard.DeadlineHeader, "150")
-	response, err := r.client.Do(request)
+	response, err := h.client.Do(request)
 	c.Assert(err, qt.IsNil)
 	response.Body.Close()
 	c.Assert(response.StatusCode, qt.Equals, http.StatusGatewayTimeout)
@@ -264,7 +264,7 @@
 // TestForwardHTTP checks that the handler preserves HTTP semantics.
 func TestForwardHTTP(t *testing.T) {
 	c := qt.New(t)
-	r := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	h := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		switch r.URL.Path {
 		case "/lookups/echo":
@@ -293,12 +293,12 @@
 		}
 	}))
 	do := func(method, path string, body io.Reader, change func(*http.Request)) (*http.Response, string) {
-		request, err := http.NewRequest(method, r.front.URL+path, body)
+		request, err := http.NewRequest(method, h.front.URL+path, body)
 		c.Assert(err, qt.IsNil)
 		if change != nil {
 			change(request)
 		}
-		response, err := r.client.Do(request)
+		response, err := h.client.Do(request)
 		c.Assert(err, qt.IsNil)
 		defer response.Body.Close()
 		data, err := io.ReadAll(response.Body)
@@ -354,13 +354,13 @@
 	}{{"whole", false}, {"cut", true}} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newHarness(t, newBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+			h := newHarness(t, newBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write(make([]byte, size))
 				if test.cut {
 					panic(http.ErrAbortHandler)
 				}
 			}))
-			response, err := r.client.Get(r.front.URL + "/lookups/long")
+			response, err := h.client.Get(h.front.URL + "/lookups/long")
 			c.Assert(err, qt.IsNil)
 			defer response.Body.Close()
 			n, err := io.Copy(io.Discard, response.Body)
@@ -378,40 +378,40 @@
 	c := qt.New(t)
 	began := make(chan struct{})
 	cancelled := make(chan struct{})
-	r := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
+	h := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-r.Context().Done()
 		close(cancelled)
 	}))
-	conn, err := net.Dial("tcp", r.front.Listener.Addr().String())
+	conn, err := net.Dial("tcp", h.front.Listener.Addr().String())
 	c.Assert(err, qt.IsNil)
 	_, err = io.WriteString(conn, "GET /lookups/1 HTTP/1.1\r\nHost: front\r\n\r\n")
 	c.Assert(err, qt.IsNil)
 	<-began
 	conn.Close()
 	<-cancelled
-	for r.pool.Stats(time.Now()).InFlight > 0 {
+	for h.pool.Stats(time.Now()).InFlight > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c.Assert(r.pool.Stats(time.Now()).Suspects, qt.HasLen, 0)
+	c.Assert(h.pool.Stats(time.Now()).Suspects, qt.HasLen, 0)
 }
 
 func TestLeavingServerIsReported(t *testing.T) {
 	c := qt.New(t)
-	r := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	h := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(lovageyard.LoadHeader, `{"slots":4,"leaving":true}`)
 		answerOK(w, r)
 	}))
-	response, err := r.client.Get(r.front.URL + "/lookups/1")
+	response, err := h.client.Get(h.front.URL + "/lookups/1")
 	c.Assert(err, qt.IsNil)
 	response.Body.Close()
 	c.Assert(response.Header.Get(lovageyard.LoadHeader), qt.Equals, "")
-	c.Assert(r.leaving, qt.DeepEquals, []string{"server-1"})
-	c.Assert(r.pool.HasAvailable(), qt.IsFalse)
+	c.Assert(h.leaving, qt.DeepEquals, []string{"server-1"})
+	c.Assert(h.pool.HasAvailable(), qt.IsFalse)
 }
 
 func TestLookUp(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	for _, test := range []struct {
 		query  string
 		status int
@@ -429,7 +429,7 @@
 	} {
 		t.Run(test.query, func(t *testing.T) {
 			c := qt.New(t)
-			response, err := r.client.Get(r.front.URL + class.LookUpPath + "?" + test.query)
+			response, err := h.client.Get(h.front.URL + class.LookUpPath + "?" + test.query)
 			c.Assert(err, qt.IsNil)
 			defer response.Body.Close()
 			c.Assert(response.StatusCode, qt.Equals, test.status)
@@ -457,7 +457,8 @@
 	return request
 }
 
-// TestChargeRunsAtMostOnce repeats a request after each outcome of the first one.
+// TestChargeRunsAtMostOnce sends a second request after each outcome of the first one, with the same key or
+// another, and checks whether a server runs it.
 func TestChargeRunsAtMostOnce(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -479,17 +480,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			var runs atomic.Int64
-			r := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
+			h := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 				runs.Add(1)
 				test.backend(w, r)
 			}))
-			first, err := r.client.Do(post(c, r.front.URL+"/charges/1", "key-1", "body"))
+			first, err := h.client.Do(post(c, h.front.URL+"/charges/1", "key-1", "body"))
 			c.Assert(err, qt.IsNil)
 			wanted, err := io.ReadAll(first.Body)
 			c.Assert(err, qt.IsNil)
 			first.Body.Close()
 			before := runs.Load()
-			second, err := r.client.Do(post(c, r.front.URL+"/charges/1", test.key, test.body))
+			second, err := h.client.Do(post(c, h.front.URL+"/charges/1", test.key, test.body))
 			c.Assert(err, qt.IsNil)
 			defer second.Body.Close()
 			got, err := io.ReadAll(second.Body)
@@ -504,11 +505,11 @@
 	}
 }
 
-// TestMemoryStaysFlatOnLongBodies forwards 100 MB in each direction.
-func TestMemoryStaysFlatOnLongBodies(t *testing.T) {
+// TestLongBodiesAreNotBuffered forwards 100 MB in each direction. The heap has to stay below half of that.
+func TestLongBodiesAreNotBuffered(t *testing.T) {
 	c := qt.New(t)
 	const size = 100 << 20
-	r := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	h := newHarness(t, newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		n, _ := io.Copy(w, r.Body)
 		if n != size {
@@ -531,7 +532,7 @@
 			}
 		}
 	}()
-	response, err := r.client.Post(r.front.URL+"/lookups/long", "text/plain", io.LimitReader(zeros{}, size))
+	response, err := h.client.Post(h.front.URL+"/lookups/long", "text/plain", io.LimitReader(zeros{}, size))
 	c.Assert(err, qt.IsNil)
 	n, err := io.Copy(io.Discard, response.Body)
 	c.Assert(err, qt.IsNil)
@@ -561,17 +562,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
+			h := newHarness(t, newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 				<-r.Context().Done()
 			}))
-			request, err := http.NewRequest(http.MethodGet, r.front.URL+"/lookups/1", nil)
+			request, err := http.NewRequest(http.MethodGet, h.front.URL+"/lookups/1", nil)
 			c.Assert(err, qt.IsNil)
 			request.Header.Set(lovageyard.DeadlineHeader, test.deadline)
-			response, err := r.client.Do(request)
+			response, err := h.client.Do(request)
 			c.Assert(err, qt.IsNil)
 			response.Body.Close()
 			c.Assert(response.StatusCode >= 500, qt.IsTrue)
-			c.Assert(len(r.pool.Stats(time.Now()).Suspects) > 0, qt.Equals, test.suspect)
+			c.Assert(len(h.pool.Stats(time.Now()).Suspects) > 0, qt.Equals, test.suspect)
 		})
 	}
 }
--- a/caller/charge.go
+++ b/caller/charge.go
@@ -14,13 +14,14 @@
 // keyHeader is the header with the idempotency key of a request that must run at most once.
 const keyHeader = "Idempotency-Key"
 
-// maxChargeBody is the maximum body size of such a request, as its whole body is hashed.
+// maxChargeBody is the maximum body size, in bytes, of a request that must run at most once, as its whole body
+// is hashed.
 const maxChargeBody = 1 << 20
 
 // claimRetryAfter is the retry time if the key could not be claimed because the platform was unavailable.
 const claimRetryAfter = 2 * time.Second
 
-// replayedHeader marks an answer that was stored by an earlier run.
+// replayedHeader marks the stored answer of an earlier run.
 const replayedHeader = "Lovageyard-Replayed"
 
 // claim claims the key of a request that must run at most once. It returns true if the request may be sent;
--- a/caller/forward.go
+++ b/caller/forward.go
@@ -23,11 +23,11 @@
 // maxAttempts is the maximum number of attempts at one request.
 const maxAttempts = 3
 
-// A server that does not answer is marked as unreachable after patienceFactor times the mean response time of
-// its pool, but not before minPatience.
+// A server that does not answer in time is marked as unreachable if the attempt lasted at least
+// unreachableFactor times the mean response time of its pool, and at least minUnreachableTime.
 const (
-	patienceFactor = 8
-	minPatience    = 500 * time.Millisecond
+	unreachableFactor  = 8
+	minUnreachableTime = 500 * time.Millisecond
 )
 
 // statusClientGone is logged for a request whose client disconnected.
@@ -247,8 +247,8 @@
 	if ctx.Err() == nil {
 		return true
 	}
-	patience := max(minPatience, patienceFactor*x.slot.Mean)
-	return x.handler.timer.Now().Sub(started) >= patience
+	threshold := max(minUnreachableTime, unreachableFactor*x.slot.Mean)
+	return x.handler.timer.Now().Sub(started) >= threshold
 }
 
 // notRun reports whether the backend server's answer says that it did not run the request.
@@ -268,7 +268,7 @@
 	return &attemptError{RequestError: failure, status: status}
 }
 
-// attemptContext returns the context of one attempt. If another attempt may follow, the context ends at half
+// attemptContext returns the context of one attempt. If another attempt may follow, the context ends after half
 // of the remaining time.
 func (x *exchange) attemptContext() (context.Context, context.CancelFunc) {
 	ctx := x.request.Context()
@@ -307,7 +307,7 @@
 	return out
 }
 
-// finish sends the response for a failure without retry.
+// finish responds after a failure that is not retried.
 func (x *exchange) finish(failure *attemptError) {
 	ctx := x.request.Context()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -17,6 +17,6 @@
 	if !address.IsValid() {
 		return
 	}
-	through := append(h.Values("X-Forwarded-For"), address.Unmap().String())
-	h.Set("X-Forwarded-For", strings.Join(through, ", "))
+	addresses := append(h.Values("X-Forwarded-For"), address.Unmap().String())
+	h.Set("X-Forwarded-For", strings.Join(addresses, ", "))
 }
