--- a/class/check.go
+++ b/class/check.go
@@ -16,7 +16,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Bounds of the values of a class.
+// Bounds of the fields of a class.
 const (
 	MaxImportance = 9
 	MinInterval   = time.Second
--- a/class/class_test.go
+++ b/class/class_test.go
@@ -66,9 +66,9 @@
 			c.Assert(err, qt.IsNil)
 			test.change(&k)
 			err = Check(k)
-			field, ok := err.(*FieldError)
+			fieldError, ok := err.(*FieldError)
 			c.Assert(ok, qt.IsTrue, qt.Commentf("%v", err))
-			c.Assert(field.Field, qt.Equals, test.field)
+			c.Assert(fieldError.Field, qt.Equals, test.field)
 		})
 	}
 }
@@ -101,7 +101,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		k, err := Decode(data)
 		if err == nil && Check(k) != nil {
-			t.Fatal("a class was accepted that does not pass its check")
+			t.Fatal("Decode accepted a class that Check rejects")
 		}
 	})
 }
--- a/class/index.go
+++ b/class/index.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// ByName returns the class with a name, or nil.
+// ByName returns the class of that name, or nil.
 func (x *Index) ByName(name string) *lovageyard.Class {
 	index, found := slices.BinarySearchFunc(x.classes, name, func(c lovageyard.Class, name string) int {
 		return strings.Compare(c.Name, name)
