--- a/configuration/state.go
+++ b/configuration/state.go
@@ -24,7 +24,8 @@
 // safe for concurrent use.
 type State struct {
 	version int64
-	// lastFullRead is the version of the last read of all rows. Deletions before it are unknown.
+	// lastFullRead is the version of the last full read, that is, of all rows. Rows that were
+	// deleted before it may be missing from rows.
 	lastFullRead int64
 	rows         map[rowID]lovageyard.Row
 	decoded      map[rowID]decodedRow
@@ -55,7 +56,7 @@
 }
 
 // Apply applies changes and reports whether the version advanced. Changes that start after the
-// state's version would leave a gap, and are an error. Changes after version 0 contain all rows;
+// state's version would leave a gap, and are an error. Changes after version 0 are a full read:
 // rows that are missing from them have been deleted.
 func (s *State) Apply(c lovageyard.Changes) (bool, error) {
 	if c.After > s.version {
@@ -80,7 +81,7 @@
 	return true, nil
 }
 
-// removeAbsent marks as deleted the rows that are missing from a read of all rows at a version.
+// removeAbsent marks as deleted the rows that are missing from a full read at a version.
 func (s *State) removeAbsent(present map[rowID]bool, version int64) {
 	for k, row := range s.rows {
 		if !present[k] && !row.Deleted {
--- a/configuration/state_test.go
+++ b/configuration/state_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestSinceFromAnyVersion checks that a replica at any version catches up by the result of Since.
+// TestSinceFromAnyVersion checks that a replica at any version catches up by applying the result of Since.
 func TestSinceFromAnyVersion(t *testing.T) {
 	c := qt.New(t)
 	source := NewState()
@@ -61,13 +61,13 @@
 		c.Assert(err, qt.IsNil)
 	}
 	for at := int64(0); at <= 20; at++ {
-		copied := NewState()
-		_, err := copied.Apply(lovageyard.Changes{To: at, Rows: source.Since(0).Rows})
+		replica := NewState()
+		_, err := replica.Apply(lovageyard.Changes{To: at, Rows: source.Since(0).Rows})
 		c.Assert(err, qt.IsNil)
-		_, err = copied.Apply(source.Since(at))
+		_, err = replica.Apply(source.Since(at))
 		c.Assert(err, qt.IsNil)
-		c.Assert(copied.Classes(), qt.DeepEquals, source.Classes())
-		c.Assert(copied.Version(), qt.Equals, int64(20))
+		c.Assert(replica.Classes(), qt.DeepEquals, source.Classes())
+		c.Assert(replica.Version(), qt.Equals, int64(20))
 	}
 }
 
