--- a/lease/lease.go
+++ b/lease/lease.go
@@ -30,11 +30,12 @@
 	row       lovageyard.Row
 	changedAt time.Time
 	record    Record
+	// heldUntil is two thirds of the duration after this instance's last write.
 	heldUntil time.Time
 }
 
-// New returns a lease whose holder is not known yet. The key names its row, holder identifies
-// this instance, and the lease expires if it is not renewed for duration.
+// New returns a lease whose holder is not known yet. The key names its row, holder and address
+// identify this instance, and the lease expires if it is not renewed for duration.
 func New(table lovageyard.Table, key, holder, address string, duration time.Duration) *Lease {
 	return &Lease{
 		table:    table,
@@ -44,7 +45,8 @@
 	}
 }
 
-// Held reports whether this instance holds the lease at the given time.
+// Held reports whether this instance holds the lease at the given time. After a renewal, it does so
+// for two thirds of the duration, so that it stops before another instance may acquire the lease.
 func (l *Lease) Held(now time.Time) bool {
 	return l.record.Holder == l.self.Holder && now.Before(l.heldUntil)
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -33,6 +33,7 @@
 	return version, err
 }
 
+// fixture is a table with the views that two instances, a and b, have of one lease.
 type fixture struct {
 	clock *timer.Manual
 	table *faultyTable
@@ -46,6 +47,7 @@
 	return f
 }
 
+// try calls Try, which may fail only with an unknown outcome, and returns whether l is then held.
 func (f *fixture) try(c *qt.C, l *Lease) bool {
 	if err := l.Try(context.Background(), f.clock); err != nil {
 		c.Assert(errors.Is(err, lovageyard.ErrUnknownOutcome), qt.IsTrue, qt.Commentf("%v", err))
@@ -85,6 +87,7 @@
 	c.Assert(f.try(c, f.a), qt.IsFalse)
 }
 
+// An instance cannot tell how long ago a row that it reads for the first time was written.
 func TestNewLeaseWaitsForFullDuration(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture()
