--- a/decision/sink.go
+++ b/decision/sink.go
@@ -17,7 +17,7 @@
 	// maxPending is the size in bytes of the buffer of unwritten lines; routine lines may use half of it.
 	maxPending = 1 << 20
 	// maxRate is the maximum output rate in bytes a second; routine lines may use half of it. A line has about
-	// 450 bytes, so that an instance with 100 requests a second writes 45,000.
+	// 450 bytes, so that an instance with 100 requests a second writes 45,000 bytes a second.
 	maxRate = 1 << 20
 	// flushInterval is how long lines are collected, as each write is a system call.
 	flushInterval = 100 * time.Millisecond
--- a/decision/sink_test.go
+++ b/decision/sink_test.go
@@ -14,20 +14,21 @@
 	"lovageyard.example/lovageyard/decision"
 )
 
-// blockedWriter is an output that blocks until it is opened.
+// blockedWriter is an output that blocks until open is closed.
 type blockedWriter struct {
 	open    chan struct{}
 	mu      sync.Mutex
 	written bytes.Buffer
 }
 
-func (s *blockedWriter) Write(b []byte) (int, error) {
-	<-s.open
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.written.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.open
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(b)
 }
 
+// newLogger returns a logger that writes to out through a sink, and the sink.
 func newLogger(out *blockedWriter) (*logrus.Logger, *decision.Sink) {
 	logger := logrus.New()
 	logger.SetFormatter(&logrus.JSONFormatter{})
@@ -58,13 +59,13 @@
 	close(out.open)
 	sink.Close()
 	written := out.written.String()
-	writtenLines := strings.Count(written, `"outcome":"answered"`)
-	c.Assert(writtenLines > 100, qt.IsTrue)
-	c.Assert(writtenLines < lines, qt.IsTrue)
+	answeredLines := strings.Count(written, `"outcome":"answered"`)
+	c.Assert(answeredLines > 100, qt.IsTrue)
+	c.Assert(answeredLines < lines, qt.IsTrue)
 	c.Assert(strings.Count(written, `"outcome":"refused"`), qt.Equals, refusals)
 	c.Assert(strings.Contains(written, "platform lost"), qt.IsTrue)
-	c.Assert(sink.Dropped(), qt.Equals, decision.Dropped{Routine: int64(lines - writtenLines)})
-	c.Assert(reportedDrops(c, written), qt.Equals, lines-writtenLines)
+	c.Assert(sink.Dropped(), qt.Equals, decision.Dropped{Routine: int64(lines - answeredLines)})
+	c.Assert(reportedDrops(c, written), qt.Equals, lines-answeredLines)
 }
 
 // reportedDrops returns how many routine lines the output reports as dropped.
