--- a/account/doc.go
+++ b/account/doc.go
@@ -1,3 +1,3 @@
-// Package account maps the key of a request to the client account that it belongs to. It holds digests of the
-// keys only, so that neither memory nor log lines contain a key.
+// Package account maps the key of a request to the client account that it belongs to. It holds only digests of
+// the keys, so that neither logging a registry nor a dump of its memory reveals a key.
 package account
