--- a/dispatch/bounds_test.go
+++ b/dispatch/bounds_test.go
@@ -33,14 +33,14 @@
 	}
 }
 
-func TestColdLimiterCountsAnySecond(t *testing.T) {
+func TestColdLimiterHoldsInAnySecond(t *testing.T) {
 	c := qt.New(t)
-	var gate coldLimiter
+	var limiter coldLimiter
 	var sends []time.Time
 	for ms := range 5000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		if gate.allows(3, now) {
-			gate.record(now)
+		if limiter.allows(3, now) {
+			limiter.record(now)
 			sends = append(sends, now)
 		}
 	}
@@ -61,12 +61,11 @@
 	for ms := range 40_000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		if ms%20 == 0 && ms < 20_000 {
-			budgets[ms/20%instances].earn(bound, now)
+			budgets[ms/20%instances].recordRequest(bound, now)
 			requests++
 		}
-		// All requests fail: one instance requests a retry every millisecond, each of them every 12
-		// ms.
-		if budgets[ms%instances].spend(bound, instances, now) {
+		// All requests fail, and the instances ask for retries in turn, one every millisecond.
+		if budgets[ms%instances].takeRetry(bound, instances, now) {
 			spent = append(spent, now)
 		}
 	}
@@ -77,7 +76,7 @@
 		for last+1 < len(spent) && spent[last+1].Sub(spent[i]) < bound.Window {
 			last++
 		}
-		c.Assert(float64(last-i+1) <= allowed, qt.IsTrue, qt.Commentf("%d repeats from %s", last-i+1, spent[i].Sub(start)))
+		c.Assert(float64(last-i+1) <= allowed, qt.IsTrue, qt.Commentf("%d retries from %s", last-i+1, spent[i].Sub(start)))
 	}
 	c.Assert(len(spent) > 0, qt.IsTrue)
 }
@@ -106,20 +105,20 @@
 	} {
 		t.Run(fmt.Sprint(bound), func(t *testing.T) {
 			c := qt.New(t)
-			const wishes = 200
+			const updates = 200
 			var s spillover
-			move := func(elsewhere bool, from time.Time) float64 {
+			change := func(remoteIsFaster bool, from time.Time) float64 {
 				before := s.share
-				for i := range wishes {
-					s.update(elsewhere, bound, from.Add(bound.Window*time.Duration(i+1)/wishes))
+				for i := range updates {
+					s.update(remoteIsFaster, bound, from.Add(bound.Window*time.Duration(i+1)/updates))
 				}
 				return s.share - before
 			}
 			s.update(false, bound, start)
-			left := move(true, start)
+			left := change(true, start)
 			c.Assert(left <= 0.4*bound.MaxChange+1e-9, qt.IsTrue, qt.Commentf("%f", left))
 			c.Assert(left >= 0.3*bound.MaxChange, qt.IsTrue, qt.Commentf("%f", left))
-			returned := -move(false, start.Add(bound.Window))
+			returned := -change(false, start.Add(bound.Window))
 			c.Assert(returned <= 0.04*bound.MaxChange+1e-9, qt.IsTrue, qt.Commentf("%f", returned))
 		})
 	}
--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -22,7 +22,7 @@
 // budget counts requests and retries in a sliding window.
 type budget struct {
 	requests [budgetBuckets]float64
-	repeats  [budgetBuckets]float64
+	retries  [budgetBuckets]float64
 	bucket   int64
 }
 
@@ -35,28 +35,28 @@
 		}
 		next := (b.bucket + 1) % budgetBuckets
 		b.requests[next] = 0
-		b.repeats[next] = 0
+		b.retries[next] = 0
 	}
 	return int(current % budgetBuckets)
 }
 
-// earn records a first attempt.
-func (b *budget) earn(bound RetryBound, now time.Time) {
+// recordRequest records a first attempt.
+func (b *budget) recordRequest(bound RetryBound, now time.Time) {
 	b.requests[b.advance(bound, now)]++
 }
 
-// spend reports whether a retry is allowed, and records it if so.
-func (b *budget) spend(bound RetryBound, sharers int, now time.Time) bool {
-	position := b.advance(bound, now)
-	var requests, repeats float64
+// takeRetry reports whether a retry is allowed, and records it if so.
+func (b *budget) takeRetry(bound RetryBound, instances int, now time.Time) bool {
+	current := b.advance(bound, now)
+	var requests, retries float64
 	for i := range b.requests {
 		requests += b.requests[i]
-		repeats += b.repeats[i]
+		retries += b.retries[i]
 	}
-	allowed := retryBoundShare * (bound.Ratio*requests + bound.Slack/float64(max(1, sharers)))
-	if repeats+1 > allowed {
+	allowed := retryBoundShare * (bound.Ratio*requests + bound.Slack/float64(max(1, instances)))
+	if retries+1 > allowed {
 		return false
 	}
-	b.repeats[position]++
+	b.retries[current]++
 	return true
 }
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -10,8 +10,8 @@
 	// unsetRank is larger than any rank in use, where larger means less urgent.
 	unsetRank = 1 << 30
 	// maxLoadUrgent and maxLoadOther are the loads, in multiples of the slots, up to which a server
-	// gets requests of the most urgent routes and of all others. A server's queue holds three times
-	// its slots; the difference is reserved for the urgent requests.
+	// gets requests of the most urgent routes and of all others. Servers queue at most three times
+	// their slots; the difference between the two loads is reserved for urgent requests.
 	maxLoadUrgent = 3.0
 	maxLoadOther  = 2.5
 	// Bounds of the retry delay of a refused client: a minimum, and the divisor of the time left
@@ -31,8 +31,7 @@
 	CauseDeadline     = "deadline"
 )
 
-// Choose selects the server with the least expected completion time for a request, or refuses the
-// request. It is safe for concurrent use.
+// Choose selects the server for a request, or refuses the request. It is safe for concurrent use.
 func (t *Table) Choose(r Request) Choice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/dispatch/choose_test.go
+++ b/dispatch/choose_test.go
@@ -204,9 +204,9 @@
 
 // The first runs of an object are uncached and take several times the initial estimate. The home
 // must not be considered slow for that: its objects stay while it has room.
-func TestInitialColdRunsDoNotMoveObjects(t *testing.T) {
+func TestInitialUncachedRunsDoNotMoveObjects(t *testing.T) {
 	tt := newTestTable(t)
-	const goal, cold = 5 * time.Second, 10 * time.Second
+	const goal, uncached = 5 * time.Second, 10 * time.Second
 	tt.view.Configuration.Routes[0].Goal = goal
 	tt.table = dispatch.NewTable(dispatch.Settings{
 		Self: "entry", FailureDomain: "east-1", Region: "east",
@@ -219,7 +219,7 @@
 		})
 	}
 	first := request("k")
-	tt.now = tt.now.Add(cold)
+	tt.now = tt.now.Add(uncached)
 	tt.finish(first, dispatch.Outcome{Answered: true})
 	for range first.Server.Slots {
 		tt.c.Assert(request("k").Server.Name, qt.Equals, first.Server.Name)
@@ -250,7 +250,8 @@
 			unanswered++
 		}
 	}
-	// 10 s with probes every 2 s at the end, after exclusions of 0.4, 0.8 and 1.6 s.
+	// The 500 requests take 10 s. Probes follow after exclusions of 0.4, 0.8 and 1.6 s, and then
+	// every 2 s.
 	tt.c.Assert(unanswered >= 3, qt.IsTrue)
 	tt.c.Assert(unanswered <= 12, qt.IsTrue, qt.Commentf("%d requests", unanswered))
 	// It is used again as soon as a probe is answered.
--- a/dispatch/estimate.go
+++ b/dispatch/estimate.go
@@ -9,8 +9,8 @@
 
 // Parameters of the cost estimate.
 const (
-	// distanceIncreaseDivisor divides the increase of a known distance when a connection took
-	// longer.
+	// distanceIncreaseDivisor limits how fast a known distance grows: it divides the difference
+	// when a connection took longer.
 	distanceIncreaseDivisor = 50
 	// Assumed round-trip times until connections have been measured.
 	ownDomainDistance   = time.Millisecond
@@ -67,8 +67,8 @@
 	c := &candidate{server: b, load: load, local: b.Region == t.settings.Region}
 	c.work = t.workEstimate(r.Route).mean
 	c.wait = time.Duration(max(0, load+1-slots) / slots * float64(s.meanWork))
-	spread := utilisationCost * math.Pow(load/slots, 2) * float64(s.meanWork)
-	c.cost = t.distance(b) + time.Duration(b.slowdown*(float64(c.wait+c.work)+spread)) + t.penalties(r, s, b)
+	utilisation := utilisationCost * math.Pow(load/slots, 2) * float64(s.meanWork)
+	c.cost = t.distance(b) + time.Duration(b.slowdown*(float64(c.wait+c.work)+utilisation)) + t.penalties(r, s, b)
 	return c
 }
 
@@ -89,11 +89,11 @@
 	} else if b.FailureDomain != t.settings.FailureDomain {
 		penalty += domainPenalty
 	}
-	loss := failurePenalty
+	failureCost := failurePenalty
 	if !r.Route.Idempotent {
-		loss = nonIdempotentFailurePenalty
+		failureCost = nonIdempotentFailurePenalty
 	}
-	penalty += time.Duration(b.failureRate * float64(loss))
+	penalty += time.Duration(b.failureRate * float64(failureCost))
 	if b.isStalled(r.Now, s.meanWork) {
 		penalty += stallPenalty
 	}
--- a/dispatch/home.go
+++ b/dispatch/home.go
@@ -19,9 +19,9 @@
 	// ownRegionWeight is the weight of a server in the requesting region relative to one elsewhere.
 	// With three equal regions, half of the requests stay in their region.
 	ownRegionWeight = 2
-	// coldRunCost is the additional time of a run at a server that has not cached the object, in
-	// mean work times of the service; the mean is dominated by cached runs.
-	coldRunCost = 2.0
+	// uncachedRunCost is the additional time of a run at a server that has not cached the object,
+	// in mean work times of the service; the mean is dominated by cached runs.
+	uncachedRunCost = 2.0
 	// alternateMaxLoad is the load, in multiples of the slots, up to which an alternate server
 	// accepts requests for objects of other homes. Servers with few slots hardly ever have a free
 	// one.
@@ -36,7 +36,7 @@
 		return nil, refusedNoServer
 	}
 	c := t.estimate(r, s, home)
-	if c != nil && c.cost <= time.Duration((1+coldRunCost)*float64(s.meanWork)) {
+	if c != nil && c.cost <= time.Duration((1+uncachedRunCost)*float64(s.meanWork)) {
 		c.reason = "the object's home server"
 		return c, refusal{}
 	}
@@ -47,7 +47,7 @@
 	case c == nil:
 		alternate.reason = "the object's home server is full; its alternate server has room"
 		return alternate, refusal{}
-	case alternate != nil && alternate.cost+time.Duration(coldRunCost*float64(s.meanWork)) < c.cost:
+	case alternate != nil && alternate.cost+time.Duration(uncachedRunCost*float64(s.meanWork)) < c.cost:
 		alternate.reason = "the object's home server is slow; its alternate server has room"
 		return alternate, refusal{}
 	}
@@ -57,22 +57,22 @@
 
 // home returns the highest ranked eligible server for the object, as seen from this region.
 func (t *Table) home(r Request, s *service, object uint64) *server {
-	here := t.topRanked(r, s, object, func(b *server) bool { return b.Region == t.settings.Region })
-	elsewhere := t.topRanked(r, s, object, func(b *server) bool { return b.Region != t.settings.Region })
+	local := t.topRanked(r, s, object, func(b *server) bool { return b.Region == t.settings.Region })
+	remote := t.topRanked(r, s, object, func(b *server) bool { return b.Region != t.settings.Region })
 	switch {
-	case here == nil:
-		return elsewhere
-	case elsewhere == nil:
-		return here
+	case local == nil:
+		return remote
+	case remote == nil:
+		return local
 	}
-	if math.Pow(here.unitScore(object), 1.0/ownRegionWeight) >= elsewhere.unitScore(object) {
-		return here
+	if math.Pow(local.unitScore(object), 1.0/ownRegionWeight) >= remote.unitScore(object) {
+		return local
 	}
-	return elsewhere
+	return remote
 }
 
-// alternate returns the server that handles an object's requests while its home can't, or nil: the
-// next in rank in the home's region, if it has room. An alternate in any region would move work
+// alternate returns the server that handles an object's requests while its home can't: the next in
+// rank in the home's region, or nil if that has no room. An alternate in any region would move work
 // between regions with each burst.
 func (t *Table) alternate(r Request, s *service, object uint64, home *server) *candidate {
 	next := t.topRanked(r, s, object, func(b *server) bool { return b != home && b.Region == home.Region })
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -28,12 +28,13 @@
 	down      bool
 }
 
-// work returns how long a request runs, and adds its object to the cache.
-func (s *simServer) work(r *simRequest, cold time.Duration) time.Duration {
-	took := cold
-	if place, warm := s.cached[r.key]; warm {
-		took = time.Duration(0.3 * float64(cold))
-		s.lru.MoveToFront(place)
+// work returns how long a request runs, given the time of an uncached run, and adds its object to
+// the cache.
+func (s *simServer) work(r *simRequest, uncached time.Duration) time.Duration {
+	took := uncached
+	if element, found := s.cached[r.key]; found {
+		took = time.Duration(0.3 * float64(uncached))
+		s.lru.MoveToFront(element)
 	} else {
 		s.cached[r.key] = s.lru.PushFront(r.key)
 		if s.lru.Len() > s.cacheSize {
@@ -90,12 +91,12 @@
 	shared  bool
 	keyless bool
 	// rate is the number of requests per second in each region.
-	rate      float64
-	coldWork  time.Duration
-	goal      time.Duration
-	timeout   time.Duration
-	duration  time.Duration
-	instances int
+	rate         float64
+	uncachedWork time.Duration
+	goal         time.Duration
+	timeout      time.Duration
+	duration     time.Duration
+	instances    int
 	// slowServers of the first region run 8 times as long in the second half.
 	slowServers int
 	// amplitude is the relative amplitude of a sine wave of a given period that each region's rate
@@ -120,14 +121,14 @@
 // simulation is a discrete-event simulation of a workload with a method to choose servers.
 type simulation struct {
 	workload
-	random  *rand.Rand
-	now     time.Time
-	pending events
-	order   int
-	servers []*simServer
-	// windows counts, for each region and window of 2 s, all requests and those that ran elsewhere.
+	random                    *rand.Rand
+	now                       time.Time
+	pending                   events
+	order                     int
+	servers                   []*simServer
 	requests, inGoal, refused int
-	windows                   map[string]map[int][2]int
+	// windows counts, for each region and window of 2 s, all requests and those that ran elsewhere.
+	windows map[string]map[int][2]int
 	// sentTo holds the servers that each object was sent to.
 	sentTo map[string]map[string]bool
 }
@@ -194,7 +195,7 @@
 func (m *simulation) start(s *simServer, r *simRequest, now time.Time) {
 	s.running++
 	spread := 0.85 + 0.3*m.random.Float64()
-	took := time.Duration(spread * float64(s.work(r, m.coldWork)))
+	took := time.Duration(spread * float64(s.work(r, m.uncachedWork)))
 	m.at(now.Add(took), func(now time.Time) {
 		s.running--
 		m.at(now.Add(distance(r.region, s)), func(now time.Time) { r.done(false, now) })
@@ -346,7 +347,7 @@
 			s.cached[r.key] = s.lru.PushFront(r.key)
 		}
 		cost := func(s *simServer) time.Duration {
-			return 2*distance(r.region, s) + time.Duration(float64(s.running+len(s.queue))*float64(m.coldWork)*0.3/float64(s.Slots))
+			return 2*distance(r.region, s) + time.Duration(float64(s.running+len(s.queue))*float64(m.uncachedWork)*0.3/float64(s.Slots))
 		}
 		if best == nil || cost(s) < cost(best) {
 			best = s
@@ -407,14 +408,14 @@
 // cache, and one region has a tenth of the servers for a third of the requests.
 var statements = workload{
 	servers: map[string]int{"east": 10, "west": 2, "south": 8}, slots: 9, cacheSize: 32, objects: 51, shared: true,
-	rate: 71, coldWork: 1400 * time.Millisecond, goal: 900 * time.Millisecond, timeout: 2500 * time.Millisecond,
+	rate: 71, uncachedWork: 1400 * time.Millisecond, goal: 900 * time.Millisecond, timeout: 2500 * time.Millisecond,
 	duration: 40 * time.Second, instances: 4, seed: 2,
 }
 
 // desks is the load of the users' small services: three slots, and all objects fit into the cache.
 var desks = workload{
 	servers: map[string]int{"east": 2, "west": 4, "south": 6}, slots: 3, cacheSize: 48, objects: 46,
-	rate: 80, coldWork: 240 * time.Millisecond, goal: 200 * time.Millisecond, timeout: 1200 * time.Millisecond,
+	rate: 80, uncachedWork: 240 * time.Millisecond, goal: 200 * time.Millisecond, timeout: 1200 * time.Millisecond,
 	duration: 40 * time.Second, instances: 3, seed: 2,
 }
 
@@ -423,7 +424,7 @@
 // the other.
 var waves = workload{
 	servers: map[string]int{"east": 10, "west": 2, "south": 8}, slots: 9, cacheSize: 84, objects: 128, shared: true,
-	rate: 172, coldWork: 400 * time.Millisecond, goal: 300 * time.Millisecond, timeout: 2 * time.Second,
+	rate: 172, uncachedWork: 400 * time.Millisecond, goal: 300 * time.Millisecond, timeout: 2 * time.Second,
 	duration: 72 * time.Second, instances: 4, amplitude: 0.55, period: 36 * time.Second, seed: 2,
 }
 
@@ -451,9 +452,9 @@
 	for _, test := range []struct {
 		name string
 		load workload
-		// ofIdeal is the minimum share of the ideal's requests in goal, and above the minimum gain
-		// over the best baseline.
-		ofIdeal, above float64
+		// minOfIdeal is the minimum share of the ideal's requests in goal, and minGain the minimum
+		// gain over the best baseline.
+		minOfIdeal, minGain float64
 	}{
 		{"statements", statements, 0.75, 0.3},
 		{"desks", desks, 0.9, 0.02},
@@ -461,18 +462,18 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			bound := newSimulation(test.load).run(chooseIdeal)
+			ideal := newSimulation(test.load).run(chooseIdeal)
 			m := newSimulation(test.load)
 			got := m.run(chooseByTable(m))
 			best := 0.0
-			for name, way := range map[string]chooser{"random": chooseRandom, "round robin": chooseRoundRobin(), "least own": chooseLeastOwn()} {
-				share := newSimulation(test.load).run(way)
+			for name, choose := range map[string]chooser{"random": chooseRandom, "round robin": chooseRoundRobin(), "least own": chooseLeastOwn()} {
+				share := newSimulation(test.load).run(choose)
 				t.Logf("%s: %.3f of requests in goal", name, share)
 				best = max(best, share)
 			}
-			t.Logf("table: %.3f, refused %.3f, largest shift %.3f; ideal: %.3f", got, float64(m.refused)/float64(m.requests), m.largestShift(), bound)
-			c.Assert(got >= test.ofIdeal*bound, qt.IsTrue)
-			c.Assert(got >= best+test.above, qt.IsTrue)
+			t.Logf("table: %.3f, refused %.3f, largest shift %.3f; ideal: %.3f", got, float64(m.refused)/float64(m.requests), m.largestShift(), ideal)
+			c.Assert(got >= test.minOfIdeal*ideal, qt.IsTrue)
+			c.Assert(got >= best+test.minGain, qt.IsTrue)
 		})
 	}
 }
@@ -496,10 +497,10 @@
 	}
 }
 
-// Regions whose peaks follow each other must share the load. With a home in each region and a
-// rate-limited share that left the region, 0.959 to 0.969 were answered in goal, and 0.0033 to
-// 0.0051 refused, where each region has its own objects; 0.974 to 0.981 and 0.0008 to 0.0027 where
-// they share them.
+// Regions whose peaks follow each other must share the load. An earlier design, in which each
+// region had its own home for an object and only a rate-limited share of requests left the region,
+// fails: with separate objects in each region it answered 0.959 to 0.969 in goal and refused 0.0033
+// to 0.0051; with shared objects, it answered 0.974 to 0.981 and refused 0.0008 to 0.0027.
 func TestDemandWavesSpillToOtherRegions(t *testing.T) {
 	for _, shared := range []bool{true, false} {
 		for seed := range uint64(4) {
@@ -520,9 +521,10 @@
 	}
 }
 
-// Requests of a small region must run elsewhere from the first peak on, or they are refused. With a
-// share that may grow by 0.03 a second, 0.939 were answered in goal on average of these seeds if it
-// started with what 0.7 of the slots could not carry, and 0.942 with 0.9 of them.
+// Requests of a small region must run elsewhere from the first peak on, or they are refused. The
+// initial spillover share decides: with a share that may grow by 0.03 per second, an assumed
+// initial utilisation of 0.7 answers 0.939 in goal on average of these seeds, and one of 0.9
+// answers 0.942.
 func TestSmallRegionStartsWithSpillover(t *testing.T) {
 	c := qt.New(t)
 	const seeds = 8
@@ -543,17 +545,18 @@
 	c.Check(sum/seeds >= 0.9405, qt.IsTrue)
 }
 
-// rareObjects is a load of many objects that are each requested rarely, for hours: an uncached run
-// takes longer than callers want to wait, servers cache fewer objects than they are asked for, and
+// rareObjects is a load of many objects that are each requested rarely: an uncached run takes
+// longer than callers want to wait, servers cache fewer objects than are requested from them, and
 // the west has a tenth of the servers for a third of the requests.
 var rareObjects = workload{
 	servers: map[string]int{"east": 17, "west": 4, "south": 14}, slots: 9, cacheSize: 17, objects: 278,
-	rate: 36, coldWork: 2500 * time.Millisecond, goal: 1500 * time.Millisecond, timeout: 3 * time.Second,
+	rate: 36, uncachedWork: 2500 * time.Millisecond, goal: 1500 * time.Millisecond, timeout: 3 * time.Second,
 	duration: 36 * time.Second, instances: 9, amplitude: 0.55, period: 36 * time.Second, demandShare: 1.0 / 3,
 }
 
-// If all instances agree on the home of an object, it runs uncached once. With a spillover share
-// per instance, an object ran at 1.38 to 1.41 servers, and 0.51 to 0.53 were answered in goal.
+// All instances agree on the home of an object, so that it runs uncached only once. An earlier
+// design with a spillover share per instance ran each object at 1.38 to 1.41 servers and answered
+// 0.51 to 0.53 in goal.
 func TestRareObjectsStayAtOneServer(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(4) {
--- a/dispatch/notice.go
+++ b/dispatch/notice.go
@@ -41,7 +41,7 @@
 
 type recordTable map[incarnation]*recordEntry
 
-// recordOf returns the record of a listed server, or a new one if there has been no backpressure.
+// recordOf returns the record of a listed server, or a new one if the server has requested nothing.
 func (t *Table) recordOf(s lovageyard.BackendServer, now time.Time) *backpressure.Record {
 	entry := t.records[incarnationOf(s)]
 	if entry != nil && s.Incarnation == 0 && !entry.unlistedAt.IsZero() && now.Sub(entry.unlistedAt) > assumedRestartGap {
@@ -56,18 +56,18 @@
 
 // Observe applies the backpressure that a response of a server requests, and returns what has
 // changed. The request was sent at sentAt.
-func (t *Table) Observe(s lovageyard.BackendServer, n lovageyard.Backpressure, sentAt, now time.Time) backpressure.Change {
+func (t *Table) Observe(s lovageyard.BackendServer, requested lovageyard.Backpressure, sentAt, now time.Time) backpressure.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entry := t.records[incarnationOf(s)]
 	if entry == nil {
-		if n == (lovageyard.Backpressure{}) {
+		if requested == (lovageyard.Backpressure{}) {
 			return backpressure.Change{}
 		}
 		entry = t.addRecord(s, now)
 	}
 	entry.lastSeen = now
-	return entry.record.Observe(n, sentAt, now)
+	return entry.record.Observe(requested, sentAt, now)
 }
 
 // addRecord starts to keep the record of a server.
@@ -99,8 +99,8 @@
 	}
 }
 
-// TakeResend reports whether the server of a choice accepts the request once more, and counts the
-// request against the server's limit.
+// TakeResend reports whether the request may be sent to the server of a choice once more, and
+// counts it against the server's rate limit if so.
 func (t *Table) TakeResend(c Choice, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,8 +111,8 @@
 	return true
 }
 
-// MaySend reports whether the server of a choice still accepts the request, unless it has requested
-// a backoff or no further requests since the choice was made.
+// MaySend reports whether the request may still be sent to the server of a choice, which may have
+// requested a backoff or announced its shutdown since.
 func (t *Table) MaySend(c Choice, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/dispatch/notice_test.go
+++ b/dispatch/notice_test.go
@@ -27,13 +27,13 @@
 	return nil
 }
 
-// countSends sends requests at short intervals, for many objects or for none, and returns how many
-// each server gets.
-func (tt *testTable) countSends(period time.Duration, named bool, notice map[string]lovageyard.Backpressure) map[string]int {
+// countSends sends requests at short intervals, for a different object each or for none, and
+// returns how many each server gets. Servers respond with the given backpressure.
+func (tt *testTable) countSends(period time.Duration, withKeys bool, requested map[string]lovageyard.Backpressure) map[string]int {
 	counts := make(map[string]int)
 	for end := tt.now.Add(period); tt.now.Before(end); tt.now = tt.now.Add(20 * time.Millisecond) {
 		key := ""
-		if named {
+		if withKeys {
 			key = fmt.Sprint(tt.now.UnixNano())
 		}
 		choice := tt.choose(key)
@@ -42,7 +42,7 @@
 			continue
 		}
 		counts[choice.Server.Name]++
-		tt.table.Observe(choice.Server, notice[choice.Server.Name], tt.now, tt.now)
+		tt.table.Observe(choice.Server, requested[choice.Server.Name], tt.now, tt.now)
 		tt.finish(choice, dispatch.Outcome{Answered: true})
 	}
 	return counts
@@ -51,12 +51,12 @@
 // A server's rate limit must hold for all requests, whether they are bound to an object or not; the
 // excess goes to other servers.
 func TestAllChoicesKeepServerLimit(t *testing.T) {
-	for _, named := range []bool{true, false} {
-		t.Run(fmt.Sprint(named), func(t *testing.T) {
+	for _, withKeys := range []bool{true, false} {
+		t.Run(fmt.Sprint(withKeys), func(t *testing.T) {
 			tt := newTestTable(t)
 			limited := lovageyard.Backpressure{Limited: true, Limit: 2}
 			tt.observe("east-0", limited)
-			counts := tt.countSends(20*time.Second, named, map[string]lovageyard.Backpressure{"east-0": limited})
+			counts := tt.countSends(20*time.Second, withKeys, map[string]lovageyard.Backpressure{"east-0": limited})
 			tt.c.Assert(counts["east-0"] <= 40, qt.IsTrue, qt.Commentf("%v", counts))
 			tt.c.Assert(counts["east-0"] > 20, qt.IsTrue, qt.Commentf("%v", counts))
 			tt.c.Assert(counts["east-0"]+counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 1000)
@@ -130,12 +130,12 @@
 // A server that announces its shutdown in a response must get no further request, whether it is
 // bound to an object or not. If all servers have done so, requests are refused immediately.
 func TestLeavingServerGetsNoRequests(t *testing.T) {
-	for _, named := range []bool{true, false} {
-		t.Run(fmt.Sprint(named), func(t *testing.T) {
+	for _, withKeys := range []bool{true, false} {
+		t.Run(fmt.Sprint(withKeys), func(t *testing.T) {
 			tt := newTestTable(t)
 			inFlight := tt.choose("")
 			tt.observe("east-0", lovageyard.Backpressure{Leaving: true})
-			counts := tt.countSends(10*time.Second, named, nil)
+			counts := tt.countSends(10*time.Second, withKeys, nil)
 			tt.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
 			tt.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 500)
 			tt.observe(inFlight.Server.Name, lovageyard.Backpressure{Leaving: true})
@@ -188,14 +188,14 @@
 // A server that requests a backoff must get no requests until the backoff ends, and requests again
 // afterwards.
 func TestBackingOffServerGetsNoRequests(t *testing.T) {
-	for _, named := range []bool{true, false} {
-		t.Run(fmt.Sprint(named), func(t *testing.T) {
+	for _, withKeys := range []bool{true, false} {
+		t.Run(fmt.Sprint(withKeys), func(t *testing.T) {
 			tt := newTestTable(t)
 			tt.observe("east-0", lovageyard.Backpressure{Backoff: 3 * time.Second})
-			counts := tt.countSends(3*time.Second, named, nil)
+			counts := tt.countSends(3*time.Second, withKeys, nil)
 			tt.c.Assert(counts["east-0"], qt.Equals, 0, qt.Commentf("%v", counts))
 			tt.c.Assert(counts["east-1"]+counts["east-2"]+counts["west-0"]+counts["west-1"]+counts["west-2"], qt.Equals, 150)
-			counts = tt.countSends(3*time.Second, named, nil)
+			counts = tt.countSends(3*time.Second, withKeys, nil)
 			tt.c.Assert(counts["east-0"] > 10, qt.IsTrue, qt.Commentf("%v", counts))
 		})
 	}
@@ -231,9 +231,9 @@
 	for range 10 {
 		choice := tt.choose("k")
 		tt.c.Assert(choice.Server.Name, qt.Equals, home)
-		notice := lovageyard.Backpressure{Backoff: 100 * time.Millisecond}
-		tt.observe(home, notice)
-		tt.finish(choice, dispatch.Outcome{Answered: true, Failed: true, NotRun: true, Meta: lovageyard.ResponseMeta{Backpressure: notice}})
+		requested := lovageyard.Backpressure{Backoff: 100 * time.Millisecond}
+		tt.observe(home, requested)
+		tt.finish(choice, dispatch.Outcome{Answered: true, Failed: true, NotRun: true, Meta: lovageyard.ResponseMeta{Backpressure: requested}})
 		tt.now = tt.now.Add(100 * time.Millisecond)
 	}
 }
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -16,11 +16,11 @@
 	for _, a := range c.Accounts {
 		counts[a.Rank]++
 	}
-	usual := c.Accounts[0].Rank
+	common := c.Accounts[0].Rank
 	for rank, count := range counts {
-		if count > counts[usual] || count == counts[usual] && rank > usual {
-			usual = rank
+		if count > counts[common] || count == counts[common] && rank > common {
+			common = rank
 		}
 	}
-	return usual
+	return common
 }
--- a/dispatch/rank_test.go
+++ b/dispatch/rank_test.go
@@ -32,10 +32,10 @@
 // them.
 func TestLessUrgentAccountsLeaveQueueSpace(t *testing.T) {
 	c := qt.New(t)
-	usual := acceptedCount(t, 1, 0, 1, 1, 2)
-	c.Check(acceptedCount(t, 0, 0, 1, 1, 2), qt.Equals, usual)
-	c.Check(acceptedCount(t, 2, 0, 1, 1, 2) < usual, qt.IsTrue)
+	common := acceptedCount(t, 1, 0, 1, 1, 2)
+	c.Check(acceptedCount(t, 0, 0, 1, 1, 2), qt.Equals, common)
+	c.Check(acceptedCount(t, 2, 0, 1, 1, 2) < common, qt.IsTrue)
 	// Without accounts, the rank of the route applies.
-	c.Check(acceptedCount(t, 0), qt.Equals, usual)
-	c.Check(acceptedCount(t, 1) < usual, qt.IsTrue)
+	c.Check(acceptedCount(t, 0), qt.Equals, common)
+	c.Check(acceptedCount(t, 1) < common, qt.IsTrue)
 }
--- a/dispatch/region.go
+++ b/dispatch/region.go
@@ -54,21 +54,22 @@
 
 // initialSpillover returns the initial share of a service's requests that leave the region.
 func (t *Table) initialSpillover(s *service) *spillover {
-	here, all := 0, 0
+	local, all := 0, 0
 	for _, b := range s.servers {
 		if !b.isAvailable() || t.drained[b.FailureDomain] {
 			continue
 		}
 		all += b.slots
 		if b.Region == t.settings.Region {
-			here += b.slots
+			local += b.slots
 		}
 	}
-	first := initialSpillover(here, all, t.settings.DemandShare)
+	first := initialSpillover(local, all, t.settings.DemandShare)
 	return &first
 }
 
-// hasLocal reports whether the own region has any server that may get the request.
+// hasLocal reports whether the own region has any server that may get the request. Servers that
+// have failed and not answered since do not count.
 func (t *Table) hasLocal(r Request, s *service) bool {
 	return slices.ContainsFunc(s.servers, func(b *server) bool {
 		return b.Region == t.settings.Region && b.isAvailable() && b.consecutiveFailures == 0 && b.record.Allows(r.Now) &&
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -112,8 +112,8 @@
 // estimatedLoad returns the estimated number of requests at the server.
 func (s *server) estimatedLoad(now time.Time) float64 {
 	age := now.Sub(s.othersAt)
-	trust := math.Exp(-float64(age) / float64(reportDecay))
-	return float64(s.inFlight) + s.othersMean + (s.others-s.othersMean)*trust
+	weight := math.Exp(-float64(age) / float64(reportDecay))
+	return float64(s.inFlight) + s.othersMean + (s.others-s.othersMean)*weight
 }
 
 // applyReport applies a load report of the server. The number of this instance's own requests is
@@ -133,9 +133,9 @@
 // decay reduces the weight of old observations.
 func (s *server) decay(now time.Time) {
 	if !s.decayedAt.IsZero() {
-		left := math.Exp2(-float64(now.Sub(s.decayedAt)) / float64(estimateHalfLife))
-		s.slowdown = 1 + (s.slowdown-1)*left
-		s.failureRate *= left
+		factor := math.Exp2(-float64(now.Sub(s.decayedAt)) / float64(estimateHalfLife))
+		s.slowdown = 1 + (s.slowdown-1)*factor
+		s.failureRate *= factor
 	}
 	s.decayedAt = now
 }
--- a/dispatch/spill.go
+++ b/dispatch/spill.go
@@ -35,20 +35,21 @@
 }
 
 // initialSpillover returns the initial share: the part of the region's demand that exceeds its part
-// of the slots. demandHere is the region's part of the total demand.
-func initialSpillover(slotsHere, slotsAll int, demandHere float64) spillover {
-	if slotsAll == 0 || demandHere <= 0 {
+// of the slots. localDemand is the region's part of the total demand.
+func initialSpillover(localSlots, allSlots int, localDemand float64) spillover {
+	if allSlots == 0 || localDemand <= 0 {
 		return spillover{}
 	}
-	capacity := float64(slotsHere) / float64(slotsAll)
-	share := max(0, 1-capacity/(initialUtilisation*demandHere))
+	capacity := float64(localSlots) / float64(allSlots)
+	share := max(0, 1-capacity/(initialUtilisation*localDemand))
 	return spillover{share: share, target: share}
 }
 
-// update updates the share with whether a request would be answered sooner in another region.
-func (s *spillover) update(elsewhere bool, bound ShiftBound, now time.Time) {
+// update moves the share towards the target, which it updates with whether a request would be
+// answered sooner in another region.
+func (s *spillover) update(remoteIsFaster bool, bound ShiftBound, now time.Time) {
 	sample := 0.0
-	if elsewhere {
+	if remoteIsFaster {
 		sample = 1
 	}
 	if s.updatedAt.IsZero() {
@@ -60,7 +61,7 @@
 	s.share += min(outboundFraction*step, max(-returnFraction*step, s.target-s.share))
 }
 
-// isRemote reports whether a request at a position, from 0 to 1, belongs to the share that leaves.
-func (s *spillover) isRemote(position float64) bool {
-	return position < s.share
+// isRemote reports whether a request leaves the region, given a random number from 0 to 1.
+func (s *spillover) isRemote(random float64) bool {
+	return random < s.share
 }
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -208,8 +208,8 @@
 	}
 	// Kept in the order of the snapshot, so that the same inputs give the same choices.
 	for _, listed := range view.Servers {
-		if owner := t.services[listed.Service]; owner != nil {
-			owner.servers = append(owner.servers, t.servers[listed.Name])
+		if s := t.services[listed.Service]; s != nil {
+			s.servers = append(s.servers, t.servers[listed.Name])
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	}
 	name := split.next(route.Parts)
 	if s := t.services[name]; s != nil {
-		s.budget.earn(t.settings.Retries, now)
+		s.budget.recordRequest(t.settings.Retries, now)
 	}
 	return name
 }
@@ -272,7 +272,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
-	return s != nil && s.budget.spend(t.settings.Retries, len(t.instances), now)
+	return s != nil && s.budget.takeRetry(t.settings.Retries, len(t.instances), now)
 }
 
 // Cancel undoes a choice for which no request was sent.
