--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -31,8 +31,8 @@
 	// callTimeout bounds a call to an owner; it is several times the network delay between regions.
 	callTimeout = 400 * time.Millisecond
 	// minAvoidance is how long an owner that did not reply is avoided. The time doubles with each further
-	// failure, up to maxAvoidance. Then the owner is probed with an empty report while its fallback still
-	// serves.
+	// failure, up to maxAvoidance. Afterwards the owner is probed with an empty report; its fallback serves
+	// until a probe succeeds.
 	minAvoidance = 2 * time.Second
 	maxAvoidance = 16 * time.Second
 )
@@ -58,8 +58,8 @@
 	Metrics *meter.Set
 }
 
-// Limiter enforces the limits at one of the instances that share them. It is safe for concurrent use, but for
-// Account, OwnedSince and InstanceCount, which an Owner calls back while Settle or a report runs.
+// Limiter enforces the limits at one of the instances that share them. It is safe for concurrent use, except
+// for Account, OwnedSince and InstanceCount, which its Owner calls with the lock held.
 type Limiter struct {
 	settings   Settings
 	context    context.Context
@@ -137,8 +137,8 @@
 	l.goroutines.Wait()
 }
 
-// Admit decides whether a request is within its account's limit. It blocks for the account's owner only while
-// the account is near its limit, and never returns Pending.
+// Admit decides whether a request is within its account's limit. It waits for the account's owner only if the
+// request needs a token that this instance does not have, and never returns Pending.
 func (l *Limiter) Admit(ctx context.Context, a *lovageyard.Account) Decision {
 	if a == nil || a.Rate <= 0 {
 		return Decision{Verdict: Admitted}
@@ -208,7 +208,7 @@
 	l.ledger.Return(a.Name)
 }
 
-// MeteredCount returns the number of accounts that are near their limits according to their owners.
+// MeteredCount returns the number of accounts that need tokens according to their owners.
 func (l *Limiter) MeteredCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -68,8 +68,8 @@
 	return f
 }
 
-// untilAdmitted retries at one limiter until it admits a request.
-func (f *fleet) untilAdmitted(name string, a *lovageyard.Account) {
+// waitUntilAdmitted retries at one limiter until it admits a request.
+func (f *fleet) waitUntilAdmitted(name string, a *lovageyard.Account) {
 	f.c.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if f.limiters[name].Admit(context.Background(), a).Verdict == quota.Admitted {
@@ -91,14 +91,14 @@
 	a := lovageyard.Account{Name: "a", Rate: 1000, Burst: 1000}
 	f := newFleet(t, 3, a)
 	for name := range f.limiters {
-		f.untilAdmitted(name, &a)
+		f.waitUntilAdmitted(name, &a)
 	}
 	for disconnected := range f.limiters {
 		f.mu.Lock()
 		f.disconnected = map[string]bool{disconnected: true}
 		f.mu.Unlock()
 		for name := range f.limiters {
-			f.untilAdmitted(name, &a)
+			f.waitUntilAdmitted(name, &a)
 		}
 	}
 }
@@ -115,13 +115,13 @@
 	for _, l := range f.limiters {
 		callers.Go(func() {
 			for range perInstance {
-				answer := l.Admit(context.Background(), &a)
+				decision := l.Admit(context.Background(), &a)
 				mu.Lock()
-				if answer.Verdict == quota.Admitted {
+				if decision.Verdict == quota.Admitted {
 					admitted++
 				} else {
-					f.c.Check(answer.Verdict, qt.Equals, quota.Refused)
-					f.c.Check(answer.RetryAfter > 0, qt.IsTrue)
+					f.c.Check(decision.Verdict, qt.Equals, quota.Refused)
+					f.c.Check(decision.RetryAfter > 0, qt.IsTrue)
 				}
 				mu.Unlock()
 			}
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -111,9 +111,9 @@
 
 // ownerOf returns the owner that an instance reports to.
 func (s *simulation) ownerOf(n *node) *node {
-	for _, k := range s.nodes {
-		if _, avoided := n.avoided[k.rank]; !avoided {
-			return k
+	for _, candidate := range s.nodes {
+		if _, avoided := n.avoided[candidate.rank]; !avoided {
+			return candidate
 		}
 	}
 	return n
@@ -163,8 +163,8 @@
 	n.urgent = n.urgent || n.ledger.IsUrgent(&s.account, s.now)
 }
 
-func (s *simulation) count(n *node, a quota.Decision) {
-	switch a.Verdict {
+func (s *simulation) count(n *node, d quota.Decision) {
+	switch d.Verdict {
 	case quota.Admitted:
 		s.admitted[len(s.admitted)-1]++
 	case quota.Refused:
@@ -246,13 +246,13 @@
 	pending := n.pending
 	n.pending = nil
 	for _, since := range pending {
-		answer := n.ledger.Resume(&s.account, s.now)
-		if answer.Verdict == quota.Pending {
+		decision := n.ledger.Resume(&s.account, s.now)
+		if decision.Verdict == quota.Pending {
 			n.pending = append(n.pending, since)
 			n.urgent = true
 			continue
 		}
-		s.count(n, answer)
+		s.count(n, decision)
 	}
 }
 
@@ -285,7 +285,7 @@
 	return float64(refused) / float64(max(1, admitted+refused))
 }
 
-// evenLoad spreads a total rate evenly over all instances.
+// evenLoad returns a load in which a total rate is spread evenly over all instances.
 func (s *simulation) evenLoad(total float64) func(*node) float64 {
 	return func(*node) float64 { return total / float64(len(s.nodes)) }
 }
@@ -299,6 +299,7 @@
 // simulatedLimits are limits of small and large accounts, in requests a second.
 var simulatedLimits = []float64{3, 11, 40, 330}
 
+// simulate runs a scenario with each limit and several seeds, and checks that the bound holds.
 func simulate(t *testing.T, run func(c *qt.C, s *simulation)) {
 	for _, limit := range simulatedLimits {
 		for seed := range uint64(4) {
@@ -373,7 +374,7 @@
 	}
 }
 
-// The load of an account may concentrate on one instance and move to another.
+// No request is refused if the load of an account concentrates on one instance and moves to another.
 func TestLoadMovingBetweenInstancesIsAdmitted(t *testing.T) {
 	simulate(t, func(c *qt.C, s *simulation) {
 		for rank := range 5 {
@@ -405,7 +406,8 @@
 	})
 }
 
-// An owner that was partitioned still has its old tokens, while another owner has handed out the limit.
+// While an owner is partitioned, it keeps its old tokens and another owner hands out the limit. When it
+// returns, the old tokens must not be granted in addition.
 func TestPartitionedOwnerGrantsNoBurst(t *testing.T) {
 	simulate(t, func(_ *qt.C, s *simulation) {
 		s.rate = s.evenLoad(0.3 * s.account.Rate)
@@ -419,7 +421,7 @@
 	})
 }
 
-// An owner that crashes and one that replaces it do not grant a new burst.
+// Neither an owner that restarts nor the one that replaces it meanwhile may grant a new burst.
 func TestRestartedOwnerGrantsNoBurst(t *testing.T) {
 	simulate(t, func(_ *qt.C, s *simulation) {
 		s.rate = s.evenLoad(3 * s.account.Rate)
@@ -433,7 +435,8 @@
 	})
 }
 
-// All instances may restart at the same time, repeatedly.
+// All instances restart at the same time, repeatedly. No owner knows what was admitted before, and none may
+// grant a new burst.
 func TestRestartOfAllInstancesGrantsNoBurst(t *testing.T) {
 	simulate(t, func(_ *qt.C, s *simulation) {
 		s.rate = s.evenLoad(3 * s.account.Rate)
--- a/quota/order.go
+++ b/quota/order.go
@@ -59,13 +59,13 @@
 // candidates returns the instances that may be owners, in the order that all instances agree on. Only those
 // with the largest link capacity qualify.
 func candidates(registered map[string]lovageyard.EntryInstance) []string {
-	widest := 0.0
+	largest := 0.0
 	for _, m := range registered {
-		widest = max(widest, m.LinkMbps)
+		largest = max(largest, m.LinkMbps)
 	}
 	var names []string
 	for name, m := range registered {
-		if m.LinkMbps >= widest {
+		if m.LinkMbps >= largest {
 			names = append(names, name)
 		}
 	}
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -61,8 +61,8 @@
 	Level int
 	// Metered reports whether requests need tokens.
 	Metered bool
-	// RetryAfter is when there may be tokens for what was not granted. It is 0 if that is not known because
-	// the instances that share the limit have just started.
+	// RetryAfter is when there may be tokens for what was not granted. It is 0 if everything was granted, or
+	// if too few instances report to the owner for it to know.
 	RetryAfter time.Duration
 }
 
@@ -72,8 +72,8 @@
 	buckets map[string]*bucket
 	// reportedAt holds the time of the last report of each instance.
 	reportedAt map[string]time.Duration
-	// servingSince is when a majority of the instances started to report here. Before that, another owner may
-	// have served them.
+	// serving means that a majority of the instances report here, and servingSince is when that last changed.
+	// Before that, another owner may have served them.
 	servingSince time.Duration
 	serving      bool
 	// incompleteAt is when an instance was last missing, or an account was last taken over.
@@ -145,9 +145,9 @@
 	return share
 }
 
-// bucket returns the bucket of an account. A new bucket starts with a part of the tokens that the instance
-// reports. If this instance owns the account and no other owner has served it, the bucket has been filling
-// since it became the owner, as what was admitted before is not known.
+// bucket returns the bucket of an account and creates it if necessary. A new bucket starts with a part of the
+// tokens that the instance reports. It is refilled from now on if another owner has served the account, and
+// otherwise from the time at which this instance became the owner.
 func (o *Owner) bucket(a *lovageyard.Account, u Use, limits Limits, now time.Duration) *bucket {
 	b := o.buckets[a.Name]
 	ownedSince, isOwned := limits.OwnedSince(a.Name)
