--- a/quarantine/agree_test.go
+++ b/quarantine/agree_test.go
@@ -26,17 +26,17 @@
 			"end": func(*rapid.T) {
 				now = now.Add(1500 * time.Millisecond)
 				servers++
-				at := make(map[uint64]bool)
+				lost := make(map[uint64]bool)
 				for range rapid.IntRange(1, 4).Draw(r, "requests") {
 					fingerprint := request()
 					observer := table()
 					observer.RecordLoss(server(servers), fingerprint, now.Add(-time.Millisecond), now)
-					at[fingerprint] = true
+					lost[fingerprint] = true
 				}
 				for _, replica := range tables {
 					replica.RecordCrash(server(servers), now)
 				}
-				for fingerprint := range at {
+				for fingerprint := range lost {
 					crashes[fingerprint]++
 				}
 			},
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -22,7 +22,7 @@
 	}
 	for _, reported := range r.Clearances {
 		at := now.Add(-reported.Age)
-		if known, found := t.cleared[reported.Request]; reported.Age < repeatedRetention && (!found || at.After(known.at.Add(clockSkew))) {
+		if known, found := t.cleared[reported.Request]; reported.Age < repeatedRetention && (!found || at.After(known.at.Add(ageTolerance))) {
 			t.applyClearance(reported.Request, clearance{at: at, updatedAt: now}, now)
 			changed = true
 		}
@@ -30,9 +30,9 @@
 	return changed
 }
 
-// clockSkew is how far the age of one event may differ between instances, as ages do not include the network
-// delay of the report.
-const clockSkew = time.Second
+// ageTolerance is how far the age of one event may differ between instances, as ages do not include the
+// network delay of the report.
+const ageTolerance = time.Second
 
 func (t *Table) mergeCrash(reported Crash, now time.Time) bool {
 	at := now.Add(-reported.Age)
@@ -42,8 +42,9 @@
 		t.crashes[reported.Server] = c
 	}
 	if at.Before(c.at) {
-		// A report with a shorter network delay gives a more accurate time. With the later time, a request
-		// that was sent to another server after the crash would appear to have been sent before it.
+		// Network delays make crashes appear later than they were, so the earlier time is more accurate. With
+		// the later one, a request that was sent to another server after the crash could appear to have been
+		// sent before it.
 		c.at = at
 	}
 	changed := false
@@ -83,8 +84,8 @@
 	return t.ReportSince(time.Time{}, now)
 }
 
-// ReportFor returns the crashes at which one request was in flight, without the other requests that were lost
-// in them.
+// ReportFor returns the confirmed crashes at which one request was in flight, without the other requests that
+// were in flight.
 func (t *Table) ReportFor(request uint64, now time.Time) Report {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -58,7 +58,7 @@
 		t.decisions.counts[request] = len(servers)
 	}
 	for {
-		request, found := e.nextSuspect()
+		request, found := e.nextToQuarantine()
 		if !found {
 			break
 		}
@@ -72,8 +72,8 @@
 	}
 }
 
-// quarantine returns the entry of a request in quarantine. It expires when fewer than quarantineThreshold of
-// its crashes are retained.
+// quarantine returns the entry of a quarantined request. It expires when fewer than quarantineThreshold of the
+// request's crashes are retained.
 func (t *Table) quarantine(request uint64, servers []Server, now time.Time) QuarantinedRequest {
 	var names []string
 	var expiries []time.Time
@@ -146,8 +146,9 @@
 	}
 }
 
-// nextSuspect returns the next request to quarantine, if there is one.
-func (e *evidence) nextSuspect() (uint64, bool) {
+// nextToQuarantine returns the request with the most unattributed crashes if it can be quarantined, and whether
+// there is one. Requests that are ambiguous have to wait for ambiguityLimit.
+func (e *evidence) nextToQuarantine() (uint64, bool) {
 	highest := quarantineThreshold
 	var candidates []uint64
 	for _, request := range slices.Sorted(maps.Keys(e.crashesOf)) {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -10,7 +10,7 @@
 
 // Retention times and sizes of a Table.
 const (
-	// confirmTimeout is how long after it closed a connection a server may be confirmed to have crashed.
+	// confirmTimeout is how long a crash is kept unconfirmed after the server closed a connection.
 	confirmTimeout = 5 * time.Second
 	// repeatedRetention is how long a crash is kept if one of its requests was in flight at another crash as
 	// well; it also bounds how long a request is quarantined. Each time the quarantine of such a request
@@ -25,7 +25,8 @@
 	maxRequests = 64
 )
 
-// crash is a server that closed connections with requests in flight. It counts once confirmed is set.
+// crash is the suspected crash of a server that closed connections with requests in flight. It counts once
+// confirmed is set.
 type crash struct {
 	at time.Time
 	// updatedAt is when this instance last recorded or merged something about the crash.
@@ -56,10 +57,10 @@
 	return &Table{crashes: make(map[Server]*crash), cleared: make(map[uint64]clearance), decisions: newDecisions()}
 }
 
-// RecordLoss records that a server closed the connection of a request in flight. It returns whether the crash
-// of the server is still to be confirmed, and whether the loss should be reported to other instances because
-// it already is. A request that succeeded within recentWindow is ignored: it is one that many clients send,
-// and was in flight only by coincidence.
+// RecordLoss records that a server closed the connection of a request in flight. It returns unconfirmed if it
+// is not known yet whether the server has crashed, and changed if that is known and the request was added to
+// the crash, so that other instances should be notified. A request that succeeded within recentWindow is
+// ignored: it is one that many clients send, and was in flight only by coincidence.
 func (t *Table) RecordLoss(server Server, request uint64, sentAt, now time.Time) (unconfirmed, changed bool) {
 	if t.recent.contains(request, now) {
 		return false, false
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -175,9 +175,8 @@
 	c.Assert(second.Merge(first.Report(first.now), second.now), qt.IsFalse)
 }
 
-// A success clears a request only of crashes before it. An instance recorded a crash, then merged a report of
-// an older crash and of a success between the two; counting the success against both let two instances with
-// the same reports disagree.
+// A success clears a request only of crashes before it. If it cleared a later crash as well, two instances that
+// receive the same reports in different orders would disagree.
 func TestClearanceDoesNotCoverLaterCrashes(t *testing.T) {
 	c := qt.New(t)
 	tb := newTestTable()
@@ -254,8 +253,8 @@
 	c.Assert(tb.evaluate(other).Quarantined, qt.IsTrue)
 }
 
-// A request that many clients send every second was in flight at three crashes with another cause, and
-// succeeded elsewhere between them.
+// A request that many clients send every second is in flight at three crashes with another cause, and succeeds
+// elsewhere between them. It must not become a suspect.
 func TestRecentSuccessPreventsSuspicion(t *testing.T) {
 	c := qt.New(t)
 	tb := newTestTable()
@@ -275,9 +274,9 @@
 	c.Assert(tb.evaluate(14).Quarantined, qt.IsTrue)
 }
 
-// Simulates one poison request among many others. All are retried after a crash, as clients and instances do,
-// on random servers once they are suspects. The poison request is quarantined after at most four crashes, and
-// no other request ever is.
+// One request that crashes servers runs among many others. All are retried after a crash, on random servers
+// once they are suspects. The poison request must be quarantined after at most four crashes, and no other
+// request ever.
 func TestOnlyPoisonRequestIsQuarantined(t *testing.T) {
 	const servers, inFlight, seeds = 12, 30, 200
 	for seed := range uint64(seeds) {
@@ -285,12 +284,12 @@
 		random := rand.New(rand.NewPCG(seed, seed))
 		tb := newTestTable()
 		incarnation := 0
-		at := make(map[uint64]int)
+		serverOf := make(map[uint64]int)
 		nextRequest := uint64(100)
 		place := func(request uint64, home int) {
-			at[request] = home
+			serverOf[request] = home
 			if tb.evaluate(request).Suspect {
-				at[request] = random.IntN(servers)
+				serverOf[request] = random.IntN(servers)
 			}
 		}
 		for range inFlight {
@@ -302,8 +301,8 @@
 		for ; !tb.evaluate(poison).Quarantined && crashes < 9; crashes++ {
 			place(poison, 0)
 			var lost []uint64
-			for _, request := range slices.Sorted(maps.Keys(at)) {
-				if at[request] == at[poison] {
+			for _, request := range slices.Sorted(maps.Keys(serverOf)) {
+				if serverOf[request] == serverOf[poison] {
 					lost = append(lost, request)
 				}
 			}
@@ -313,10 +312,10 @@
 				place(request, 0)
 			}
 			// Some requests complete, and new ones start.
-			for _, request := range slices.Sorted(maps.Keys(at)) {
+			for _, request := range slices.Sorted(maps.Keys(serverOf)) {
 				if request != poison && random.IntN(4) == 0 {
 					tb.RecordSuccess(request, tb.now)
-					delete(at, request)
+					delete(serverOf, request)
 					nextRequest++
 					place(nextRequest, 0)
 				}
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -170,7 +170,7 @@
 	return m.table.ReportFor(request, m.settings.Timer.Now())
 }
 
-// notify signals on the updates channel without blocking.
+// notify logs the requests that were quarantined and signals on the updates channel without blocking.
 func (m *Monitor) notify() {
 	added := m.logQuarantined()
 	m.mu.Lock()
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -16,18 +16,18 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// ports is a Prober whose servers refuse connections from the given probe on, or never if that is 0.
-type ports struct {
+// fakeProber is a Prober whose servers refuse connections from the given probe on, or never if that is 0.
+type fakeProber struct {
 	crashAt int64
 	probes  atomic.Int64
 }
 
-func (p *ports) RefusesConnections(context.Context, lovageyard.BackendServer) bool {
+func (p *fakeProber) RefusesConnections(context.Context, lovageyard.BackendServer) bool {
 	n := p.probes.Add(1)
 	return p.crashAt > 0 && n >= p.crashAt
 }
 
-func newMonitor(c *qt.C, p *ports) *quarantine.Monitor {
+func newMonitor(c *qt.C, p *fakeProber) *quarantine.Monitor {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	m := quarantine.NewMonitor(quarantine.Settings{Prober: p, Timer: timer.Clock{}, Logger: logger, Metrics: meter.NewSet()})
@@ -35,7 +35,8 @@
 	return m
 }
 
-func eventually(c *qt.C, condition string, reached func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(c *qt.C, condition string, reached func() bool) {
 	for end := time.Now().Add(time.Minute); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			c.Fatalf("timed out waiting until %s", condition)
@@ -47,10 +48,10 @@
 // succeeds.
 func TestServerIsProbedAgain(t *testing.T) {
 	c := qt.New(t)
-	p := &ports{crashAt: 2}
+	p := &fakeProber{crashAt: 2}
 	m := newMonitor(c, p)
 	m.RecordLoss(lovageyard.BackendServer{Name: "server"}, poison, time.Now())
-	eventually(c, "the request is a suspect", func() bool { return m.Evaluate(poison).Suspect })
+	waitUntil(c, "the request is a suspect", func() bool { return m.Evaluate(poison).Suspect })
 	<-m.Updates()
 }
 
@@ -58,19 +59,19 @@
 // time.
 func TestRunningServerIsProbedAFewTimes(t *testing.T) {
 	c := qt.New(t)
-	p := &ports{}
+	p := &fakeProber{}
 	m := newMonitor(c, p)
 	for request := range uint64(50) {
 		m.RecordLoss(lovageyard.BackendServer{Name: "server"}, request, time.Now())
 	}
-	eventually(c, "two probes", func() bool { return p.probes.Load() == 2 })
+	waitUntil(c, "two probes", func() bool { return p.probes.Load() == 2 })
 	c.Assert(m.Evaluate(poison), qt.Equals, quarantine.Decision{})
 }
 
 // Only the observations of this instance count as newly quarantined, not the reports of others.
 func TestOnlyLocalObservationsAreNewlyQuarantined(t *testing.T) {
 	c := qt.New(t)
-	observer, receiver := newMonitor(c, &ports{crashAt: 1}), newMonitor(c, &ports{})
+	observer, receiver := newMonitor(c, &fakeProber{crashAt: 1}), newMonitor(c, &fakeProber{})
 	for _, name := range []string{"1", "2", "3"} {
 		server := lovageyard.BackendServer{Name: name}
 		time.Sleep(2 * time.Millisecond)
