--- a/backpressure/play_test.go
+++ b/backpressure/play_test.go
@@ -11,7 +11,8 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Parameters of the simulation.
+// Parameters of the simulation. effectiveAfter is how long after an instance first observed the
+// limit its requests count against it.
 const (
 	step           = 50 * time.Millisecond
 	steps          = 600
@@ -19,7 +20,7 @@
 	effectiveAfter = 500 * time.Millisecond
 )
 
-// simInstance is a simulated instance.
+// simInstance is an instance that sends requests to a server with a rate limit.
 type simInstance struct {
 	record *Record
 	// limitKnownAt is when the instance first observed the limit since its last restart; zero if it
@@ -27,7 +28,8 @@
 	limitKnownAt time.Time
 }
 
-// newSimInstance returns an instance that does not know a given number of the other instances.
+// newSimInstance returns the instance names[n], which does not know about the given number of other
+// instances.
 func newSimInstance(names []string, n, unknown int) *simInstance {
 	known := slices.Clone(names)
 	for i := range unknown {
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -14,13 +14,13 @@
 	// limitShare is the part of a limit that is used, as instances differ in how many others they
 	// know.
 	limitShare = 0.9
-	// Instances without a share of a limit probe the server now and then, all of them together at a
-	// rate of probeShare of the limit plus minProbeRate per second: only the response to a probe
-	// can report that the limit was lifted.
+	// Instances without a share of a limit probe the server at intervals, as only a response can
+	// report that the limit was lifted. All of them together send probeShare of the limit plus
+	// minProbeRate probes per second.
 	probeShare   = 0.1
 	minProbeRate = 0.25
-	// probeWindow is how long a probe may wait for a request. Probes that are not sent within the
-	// window are skipped; if they accumulated, those of all instances could coincide.
+	// probeWindow is how long a due probe waits for a request that can serve as the probe. Then it
+	// is skipped; if probes accumulated, those of all instances could coincide.
 	probeWindow = 4 * time.Second
 )
 
@@ -43,8 +43,8 @@
 	// when it was last reported.
 	limitedSince time.Time
 	limitSeenAt  time.Time
-	// share is this instance's share of the limit in requests per second, or 0 if it has none, and
-	// bucket spends it.
+	// share is this instance's share of the limit in requests per second, or 0 if it has none;
+	// bucket enforces it.
 	share  float64
 	bucket *grant.TokenBucket
 	// probeInterval is the time between two probes of an instance without a share, and lastProbe is
@@ -78,13 +78,13 @@
 
 // Observe applies the backpressure of a response to a request that was sent at sentAt, and returns
 // what has changed.
-func (r *Record) Observe(n lovageyard.Backpressure, sentAt, now time.Time) Change {
-	change := Change{Limit: r.observeLimit(n, sentAt, now), Leaving: n.Leaving && !r.leaving}
-	r.leaving = r.leaving || n.Leaving
-	if n.Backoff > 0 {
+func (r *Record) Observe(requested lovageyard.Backpressure, sentAt, now time.Time) Change {
+	change := Change{Limit: r.observeLimit(requested, sentAt, now), Leaving: requested.Leaving && !r.leaving}
+	r.leaving = r.leaving || requested.Leaving
+	if requested.Backoff > 0 {
 		change.Backoff = !r.backoffUntil.After(now)
 		// A response that was sent earlier must not shorten the backoff that another has requested.
-		r.backoffUntil = later(r.backoffUntil, now.Add(n.Backoff))
+		r.backoffUntil = later(r.backoffUntil, now.Add(requested.Backoff))
 	}
 	return change
 }
@@ -99,20 +99,20 @@
 // observeLimit applies the limit of a response and reports whether the limit has changed. A
 // response without a limit lifts it only if its request was sent after the limit was last reported,
 // as responses may arrive out of order.
-func (r *Record) observeLimit(n lovageyard.Backpressure, sentAt, now time.Time) bool {
+func (r *Record) observeLimit(requested lovageyard.Backpressure, sentAt, now time.Time) bool {
 	switch {
-	case n.Limited && r.limited && n.Limit == r.limit:
+	case requested.Limited && r.limited && requested.Limit == r.limit:
 		r.limitSeenAt = now
 		return false
-	case n.Limited:
+	case requested.Limited:
 		if !r.limited {
 			r.limitedSince = now
 			r.bucket = grant.NewTokenBucket(0, now)
 		}
-		r.limited, r.limit, r.limitSeenAt = true, n.Limit, now
+		r.limited, r.limit, r.limitSeenAt = true, requested.Limit, now
 		r.divide(now)
 		return true
-	case n.InvalidLimit, !r.limited, !sentAt.After(r.limitSeenAt):
+	case requested.InvalidLimit, !r.limited, !sentAt.After(r.limitSeenAt):
 		return false
 	}
 	r.limited, r.limit = false, 0
@@ -176,18 +176,18 @@
 	return r.nextProbe(now)
 }
 
-// nextProbe returns when the next probe may be sent. The probes of all instances are spread evenly
-// over time, and none is sent soon after the limit was first reported: otherwise instances that
-// restart repeatedly would each send one after every restart.
+// nextProbe returns when the next probe may be sent. A hash spreads the probes of all instances
+// evenly over time. None is sent soon after this instance first saw the limit: otherwise instances
+// that restart repeatedly would each send one after every restart.
 func (r *Record) nextProbe(now time.Time) time.Time {
 	phase := float64(instance.MixHash(xxhash.Sum64String(r.self)^xxhash.Sum64String(r.server))>>11) / (1 << 53)
-	since := now.Sub(r.limitedSince) - time.Duration((0.5+phase)*float64(r.probeInterval))
-	if since < 0 {
-		return now.Add(-since)
+	elapsed := now.Sub(r.limitedSince) - time.Duration((0.5+phase)*float64(r.probeInterval))
+	if elapsed < 0 {
+		return now.Add(-elapsed)
 	}
-	began := now.Add(-(since % r.probeInterval))
-	if now.Sub(began) < probeWindow && r.lastProbe.Before(began) {
+	windowStart := now.Add(-(elapsed % r.probeInterval))
+	if now.Sub(windowStart) < probeWindow && r.lastProbe.Before(windowStart) {
 		return now
 	}
-	return began.Add(r.probeInterval)
+	return windowStart.Add(r.probeInterval)
 }
--- a/grant/grant_test.go
+++ b/grant/grant_test.go
@@ -35,7 +35,7 @@
 
 // The shares of all instances must add up to the rate without communication, and no share may be so
 // small that it would accumulate for long.
-func TestSharesOfRate(t *testing.T) {
+func TestSharesAddUpToRate(t *testing.T) {
 	for _, rate := range []float64{0, 0.3, 1, 4.5, 100} {
 		for _, count := range []int{1, 12, 300} {
 			c := qt.New(t)
@@ -58,28 +58,28 @@
 func TestTokenBucketWait(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	a := NewTokenBucket(0.7, now)
+	bucket := NewTokenBucket(0.7, now)
 	for range 10 {
-		wait := a.Wait(now)
+		wait := bucket.Wait(now)
 		c.Assert(wait > 0, qt.IsTrue)
-		c.Assert(a.Take(now.Add(wait-2*time.Microsecond)), qt.IsFalse)
+		c.Assert(bucket.Take(now.Add(wait-2*time.Microsecond)), qt.IsFalse)
 		now = now.Add(wait)
-		c.Assert(a.Take(now), qt.IsTrue)
+		c.Assert(bucket.Take(now), qt.IsTrue)
 	}
-	a.SetRate(0, now)
-	c.Assert(a.Wait(now) > time.Hour, qt.IsTrue)
+	bucket.SetRate(0, now)
+	c.Assert(bucket.Wait(now) > time.Hour, qt.IsTrue)
 }
 
 func TestTokenBucketKeepsRate(t *testing.T) {
 	for _, rate := range []float64{0, 0.5, 3, 1000} {
 		c := qt.New(t)
 		now := time.Unix(1000, 0)
-		a := NewTokenBucket(rate, now)
+		bucket := NewTokenBucket(rate, now)
 		taken := 0
 		const seconds = 60
 		for range seconds * 100 {
 			now = now.Add(10 * time.Millisecond)
-			for a.Take(now) {
+			for bucket.Take(now) {
 				taken++
 			}
 		}
