--- a/server/choose.go
+++ b/server/choose.go
@@ -41,7 +41,7 @@
 	return "", errors.Errorf("choice mode %q is not known", name)
 }
 
-// choose returns the server that gets a request now, or nil if none has room.
+// choose returns the server that gets a request now, or nil if none can take it.
 func (p *Pool) choose(r Request) *backend {
 	switch p.settings.Mode {
 	case Random:
@@ -55,10 +55,10 @@
 	case Split:
 		return p.chooseLeast(r, func(be *backend) bool { return be.inFlight < p.guaranteedSlots(be) }, inFlightLoad)
 	}
-	open := func(be *backend) bool {
+	hasRoom := func(be *backend) bool {
 		return be.inFlight < p.guaranteedSlots(be) || be.inFlight < be.limit() && be.load(r.Now)+1 <= float64(be.slots)+be.overcommit()
 	}
-	return p.chooseLeast(r, open, relativeLoad)
+	return p.chooseLeast(r, hasRoom, relativeLoad)
 }
 
 // guaranteedSlots returns the equal share of a server's slots that this instance may always use.
@@ -76,13 +76,14 @@
 	return load * (float64(be.meanDuration) + float64(time.Millisecond))
 }
 
-// chooseLeast returns the open server with the least load; ties are broken at random.
-func (p *Pool) chooseLeast(r Request, open func(*backend) bool, load func(*backend, time.Time) float64) *backend {
+// chooseLeast returns the available server with room that has the least load; ties are broken at
+// random.
+func (p *Pool) chooseLeast(r Request, hasRoom func(*backend) bool, load func(*backend, time.Time) float64) *backend {
 	var best *backend
 	var least float64
 	ties := 0
 	for _, be := range p.backends {
-		if !be.isAvailable() || !open(be) || p.shouldAvoid(r, be) {
+		if !be.isAvailable() || !hasRoom(be) || p.shouldAvoid(r, be) {
 			continue
 		}
 		l := load(be, r.Now)
@@ -107,16 +108,16 @@
 
 func (p *Pool) chooseRandom(r Request) *backend {
 	start := p.random.IntN(max(1, len(p.backends)))
-	return p.firstOpen(r, start)
+	return p.firstAvailable(r, start)
 }
 
 func (p *Pool) chooseRoundRobin(r Request) *backend {
 	p.nextIndex++
-	return p.firstOpen(r, p.nextIndex)
+	return p.firstAvailable(r, p.nextIndex)
 }
 
-// firstOpen returns the first available server from an index on.
-func (p *Pool) firstOpen(r Request, start int) *backend {
+// firstAvailable returns the first available server from an index on, whether or not it has room.
+func (p *Pool) firstAvailable(r Request, start int) *backend {
 	for i := range p.backends {
 		be := p.backends[(start+i)%len(p.backends)]
 		if be.isAvailable() && !p.shouldAvoid(r, be) {
--- a/server/model_test.go
+++ b/server/model_test.go
@@ -19,7 +19,8 @@
 	instances int
 	servers   int
 	slots     int
-	queue     int
+	// queue is how many requests each server queues.
+	queue int
 	// listedSlots is the number of slots that the entry instances assume, or 0 if they know the
 	// actual number.
 	listedSlots int
@@ -31,8 +32,8 @@
 	queuePerSlot float64
 	requests     int
 	seed         uint64
-	// slowServer makes server-1 slower by a factor of ten, misreporting makes it report a load of
-	// 0.
+	// slowServer makes server-1 slower by a factor of ten; misreporting makes it always report a
+	// load of 0.
 	slowServer   bool
 	misreporting bool
 }
@@ -45,8 +46,9 @@
 	retries   int
 	sent      int
 	maxQueued int
-	shed      int
-	duration  time.Duration
+	// shed counts the requests that servers refused because their queues were full.
+	shed     int
+	duration time.Duration
 }
 
 type event struct {
@@ -141,8 +143,8 @@
 		r.after(due, func() { r.arrive(e, simRequest{arrived: r.now}) })
 	}
 	r.duration = due
-	const expireEvery = 50 * time.Millisecond
-	for at := expireEvery; at < due; at += expireEvery {
+	const expireInterval = 50 * time.Millisecond
+	for at := expireInterval; at < due; at += expireInterval {
 		r.after(at, r.expire)
 	}
 	for len(r.queue) > 0 {
@@ -174,7 +176,7 @@
 
 // poll processes the results of waiting requests.
 func (r *simulation) poll(e *simEntry) {
-	var left []simWaiter
+	var remaining []simWaiter
 	waiting := e.waiting
 	e.waiting = nil
 	for _, w := range waiting {
@@ -182,10 +184,10 @@
 		case result := <-w.waiter.Result():
 			r.proceed(e, w.request, result)
 		default:
-			left = append(left, w)
+			remaining = append(remaining, w)
 		}
 	}
-	e.waiting = append(left, e.waiting...)
+	e.waiting = append(remaining, e.waiting...)
 }
 
 func (r *simulation) proceed(e *simEntry, q simRequest, result Result) {
@@ -252,8 +254,8 @@
 	r.maxQueued = max(r.maxQueued, len(host.waiting))
 }
 
-// ideal simulates one central queue in front of all slots, as long as all queues together, with the
-// same delays and arrivals.
+// ideal simulates one central queue in front of all slots, with the same delays and arrivals. Its
+// length is that of all queues together.
 func (m simConfig) ideal() results {
 	central := m
 	central.mode = LeastInFlight
--- a/server/pool.go
+++ b/server/pool.go
@@ -55,7 +55,7 @@
 	nextIndex    int
 	meanDuration time.Duration
 	answers      uint64
-	hasServers   bool
+	serversSet   bool
 }
 
 // NewPool returns a pool without servers; SetServers adds them.
@@ -73,14 +73,14 @@
 	p.settings.Instances = max(1, n)
 }
 
-// SetServers replaces the list of servers. A server that joins later starts cold, and one that is
-// no longer listed gets no new requests. The servers of the first list are assumed to be warm, as
-// it is this instance that has started and not they.
+// SetServers replaces the list of servers. A server that is no longer listed gets no new requests,
+// and one that is added starts cold. The servers of the first list are assumed to be warm, as it is
+// this instance that has just started.
 func (p *Pool) SetServers(servers []lovageyard.BackendServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first := !p.hasServers
-	p.hasServers = true
+	first := !p.serversSet
+	p.serversSet = true
 	var backends []*backend
 	for _, b := range servers {
 		be := p.find(b.Name)
@@ -178,7 +178,7 @@
 }
 
 // Expire refuses the queued requests that can't be answered before their deadline, and assigns
-// slots that other instances have freed.
+// slots that other instances have freed. It should be called at intervals.
 func (p *Pool) Expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/server/pool_test.go
+++ b/server/pool_test.go
@@ -24,8 +24,8 @@
 	return list
 }
 
-func newTestPool(mode Mode, count, slots, sharers int) *Pool {
-	p := NewPool(Settings{Mode: mode, QueuePerSlot: 1, Instances: sharers}, 1)
+func newTestPool(mode Mode, count, slots, instances int) *Pool {
+	p := NewPool(Settings{Mode: mode, QueuePerSlot: 1, Instances: instances}, 1)
 	p.SetServers(servers(count, slots))
 	return p
 }
@@ -68,13 +68,13 @@
 func TestPoolServesEarliestDeadlineFirst(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPool(Shared, 1, 1, 1)
-	first, _ := p.Acquire(newRequest(testStart, time.Minute, 5))
+	running, _ := p.Acquire(newRequest(testStart, time.Minute, 5))
 	_, late := p.Acquire(newRequest(testStart, 50*time.Second, 5))
 	c.Assert(late, qt.IsNotNil)
 	p.settings.QueuePerSlot = 2
 	_, early := p.Acquire(newRequest(testStart, 10*time.Second, 5))
 	c.Assert(early, qt.IsNotNil)
-	p.Release(first, success(testStart, time.Millisecond))
+	p.Release(running, success(testStart, time.Millisecond))
 	c.Assert(len(early.Result()), qt.Equals, 1)
 	c.Assert(len(late.Result()), qt.Equals, 0)
 	c.Assert(p.Cancel(late), qt.IsTrue)
@@ -85,10 +85,10 @@
 	c := qt.New(t)
 	p := newTestPool(Shared, 1, 1, 1)
 	p.Acquire(newRequest(testStart, time.Minute, 5))
-	_, statement := p.Acquire(newRequest(testStart, time.Minute, 2))
-	_, charge := p.Acquire(newRequest(testStart, time.Minute, 9))
-	c.Assert(charge, qt.IsNotNil)
-	r := <-statement.Result()
+	_, low := p.Acquire(newRequest(testStart, time.Minute, 2))
+	_, high := p.Acquire(newRequest(testStart, time.Minute, 9))
+	c.Assert(high, qt.IsNotNil)
+	r := <-low.Result()
 	c.Assert(r.Err.Verdict, qt.Equals, lovageyard.VerdictNotRun)
 }
 
--- a/server/state.go
+++ b/server/state.go
@@ -36,8 +36,7 @@
 	defaultSlots = 4
 	// meanWeight is the weight of a new response time in the moving mean.
 	meanWeight = 0.1
-	// reportAgeFactor is the number of mean response times for which a report of others' requests
-	// is used.
+	// reportAgeFactor is for how many mean response times a report of others' requests is used.
 	reportAgeFactor = 4
 	// Bounds of that time.
 	minReportAge = 20 * time.Millisecond
@@ -60,9 +59,10 @@
 // backend is one backend server of a pool.
 type backend struct {
 	lovageyard.BackendServer
-	machine      *fsm.FSM
-	state        string
-	inFlight     int
+	machine  *fsm.FSM
+	state    string
+	inFlight int
+	// others is the number of other instances' requests at the server at othersAt.
 	others       int
 	othersAt     time.Time
 	meanDuration time.Duration
@@ -126,7 +126,7 @@
 	return min(be.slots, 1+be.responses/rampUpResponses)
 }
 
-// applyResponse updates the state with one response.
+// applyResponse updates the estimates with the outcome of one attempt.
 func (be *backend) applyResponse(o lovageyard.Outcome) {
 	if o.Reported {
 		be.applyReport(o.At, o.Report)
