--- a/link/conn.go
+++ b/link/conn.go
@@ -42,7 +42,8 @@
 	return c.Conn.Write(b)
 }
 
-// dial opens a connection that fails within userTimeout if the server does not acknowledge data.
+// dial opens a connection with TCP keep-alive that fails if the server does not acknowledge data
+// within userTimeout.
 func dial(ctx context.Context, address string, timeout time.Duration) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout: timeout,
@@ -88,14 +89,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	open := false
 	err = rawConn.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, failure := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failure == unix.EAGAIN
+		open = failure == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && open
 }
 
 // markIdle records the start of the idle time, and its limit if the response headers contain one.
--- a/link/exchange.go
+++ b/link/exchange.go
@@ -92,7 +92,8 @@
 	return c.writer.Flush()
 }
 
-// readResponse reads responses until the one that belongs to the request.
+// readResponse reads responses up to the one that belongs to the request. It reports whether the
+// connection may carry another request.
 func (t *Transport) readResponse(c *conn, request *http.Request, r Request, sentAt time.Time) (*Response, bool, error) {
 	if err := c.awaitResponse(); err != nil {
 		return nil, false, err
--- a/link/link.go
+++ b/link/link.go
@@ -13,8 +13,7 @@
 
 // Limits of connections and responses.
 const (
-	// dialTimeout is longer than a round trip between regions on a link with a long queue; a
-	// timeout of 350 ms had no measurable effect.
+	// dialTimeout is longer than a round trip between regions on a link with a long queue.
 	dialTimeout = 700 * time.Millisecond
 	// userTimeout is how long sent data may remain unacknowledged. It covers a few retransmissions
 	// on a link that loses packets.
@@ -51,7 +50,7 @@
 type Observer interface {
 	// Observe is called with the backpressure of each response as soon as its header is read; the
 	// request was sent at sentAt. It may be called concurrently.
-	Observe(server lovageyard.BackendServer, n lovageyard.Backpressure, sentAt time.Time)
+	Observe(server lovageyard.BackendServer, requested lovageyard.Backpressure, sentAt time.Time)
 }
 
 // Request is one attempt of a request to a backend server.
@@ -64,11 +63,11 @@
 	Body       []byte
 	ID         string
 	Idempotent bool
-	// MayResend reports whether the retry budget allows the request to be sent once more; nil means
-	// that it is not sent again.
+	// MayResend reports whether the request may be sent once more if the server has closed a reused
+	// connection; it is called only then. nil means that it may not.
 	MayResend func() bool
-	// MaySend reports whether the server still accepts the request after a connection was opened;
-	// nil means that it does.
+	// MaySend is called after a new connection was opened and reports whether the request may still
+	// be sent; nil means that it may.
 	MaySend func() bool
 	// Server is the server's name, and Incarnation the start time of its incarnation; see
 	// lovageyard.BackendServer.
@@ -133,7 +132,7 @@
 }
 
 // Send makes one attempt and reads the whole response. The error is a *lovageyard.RequestError. If
-// ctx is done, the connection is closed, on which most servers abort the request.
+// ctx is done, the connection is closed, which makes most servers abort the request.
 func (t *Transport) Send(ctx context.Context, r Request) (*Response, error) {
 	c := t.takeIdle(r.endpoint(), r.Idempotent)
 	if c == nil {
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -20,7 +20,7 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// codec reads the ID of a response, and refusals.
+// codec reads the ID of a response, and whether its status is a refusal.
 type codec struct{}
 
 func (codec) Answer(r *http.Response) lovageyard.ResponseMeta {
@@ -209,8 +209,8 @@
 	c.Assert(requests, qt.HasLen, 2)
 }
 
-// A request that was being sent as the server closed the connection may have run, even if the
-// server can't be reached afterwards.
+// A request that was sent on a connection which the server closed may have run, even if the resend
+// could not reach the server.
 func TestFailedResendMayHaveRun(t *testing.T) {
 	c := qt.New(t)
 	b := newScriptedServer(c, answer("1", "one"), "")
@@ -222,9 +222,9 @@
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictMayHaveRun)
 }
 
-// A server crashes after it has read a request, and another server at its address refuses the
-// resend as not run. The result of the first send is unknown, so the caller must not be told that
-// the request has not run.
+// A server closes the connection after it has read a request, and the resend is refused without
+// being run, possibly by another server at the address. The result of the first send is unknown, so
+// the verdict must not be that the request has not run.
 func TestRefusedResendMayHaveRun(t *testing.T) {
 	c := qt.New(t)
 	for _, status := range []string{"421 Misdirected Request", "503 Service Unavailable"} {
@@ -411,13 +411,13 @@
 	c := qt.New(t)
 	b := newScriptedServer(c, answer("1", "one"))
 	tr := newTransport(c)
-	described := lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()}
-	c.Assert(tr.RefusesConnections(context.Background(), described), qt.IsFalse)
+	server := lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()}
+	c.Assert(tr.RefusesConnections(context.Background(), server), qt.IsFalse)
 	// The connection of the probe carries the next request.
 	_, err := send(c, tr, request(b, "1", true))
 	c.Assert(err, qt.IsNil)
 	_, conns := b.received()
 	c.Assert(conns, qt.Equals, 1)
 	b.listener.Close()
-	c.Assert(tr.RefusesConnections(context.Background(), described), qt.IsTrue)
+	c.Assert(tr.RefusesConnections(context.Background(), server), qt.IsTrue)
 }
--- a/link/notice_test.go
+++ b/link/notice_test.go
@@ -18,32 +18,32 @@
 
 // testObserver collects the backpressure that servers request.
 type testObserver struct {
-	mu      sync.Mutex
-	notices []lovageyard.Backpressure
-	// onNotice is called after each observation if it is set.
-	onNotice func()
+	mu       sync.Mutex
+	observed []lovageyard.Backpressure
+	// onObserve is called after each observation if it is set.
+	onObserve func()
 }
 
 func (o *testObserver) Observe(_ lovageyard.BackendServer, n lovageyard.Backpressure, _ time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.notices = append(o.notices, n)
-	if o.onNotice != nil {
-		o.onNotice()
+	o.observed = append(o.observed, n)
+	if o.onObserve != nil {
+		o.onObserve()
 	}
 }
 
-func (o *testObserver) all() []lovageyard.Backpressure {
+func (o *testObserver) observations() []lovageyard.Backpressure {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]lovageyard.Backpressure(nil), o.notices...)
+	return append([]lovageyard.Backpressure(nil), o.observed...)
 }
 
 // limitCodec interprets the status of a response as a rate limit.
 type limitCodec struct{ codec }
 
-func (tr limitCodec) Answer(r *http.Response) lovageyard.ResponseMeta {
-	meta := tr.codec.Answer(r)
+func (l limitCodec) Answer(r *http.Response) lovageyard.ResponseMeta {
+	meta := l.codec.Answer(r)
 	meta.Backpressure = lovageyard.Backpressure{Limited: true, Limit: float64(r.StatusCode)}
 	return meta
 }
@@ -74,7 +74,7 @@
 			b := newScriptedServer(c, test.scripts...)
 			_, _ = send(c, newObservedTransport(c, o), request(b, "1", false))
 			var limits []float64
-			for _, n := range o.all() {
+			for _, n := range o.observations() {
 				limits = append(limits, n.Limit)
 			}
 			c.Assert(limits, qt.DeepEquals, test.limits)
@@ -87,11 +87,11 @@
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	o := &testObserver{onNotice: cancel}
+	o := &testObserver{onObserve: cancel}
 	b := newScriptedServer(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", answer("2", "never"))
 	_, err := newObservedTransport(c, o).Send(ctx, request(b, "1", false))
 	c.Assert(err, qt.IsNotNil)
-	c.Assert(o.all(), qt.HasLen, 1)
+	c.Assert(o.observations(), qt.HasLen, 1)
 }
 
 func TestBackpressureOfStreamIsObserved(t *testing.T) {
@@ -103,7 +103,7 @@
 	response, err := newObservedTransport(c, o).Stream(r, lovageyard.BackendServer{Name: "s", Address: b.listener.Addr().String()})
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.Body.Close(), qt.IsNil)
-	c.Assert(o.all(), qt.HasLen, 1)
+	c.Assert(o.observations(), qt.HasLen, 1)
 }
 
 // If a server requests a backoff while a connection is opened, the request must not be sent, and
--- a/link/report.go
+++ b/link/report.go
@@ -56,7 +56,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return report, errors.Errorf("probe answered %d", response.StatusCode)
+		return report, errors.Errorf("probe: unexpected status %d", response.StatusCode)
 	}
 	// Read to the end, so that the connection can be reused.
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
--- a/link/stream.go
+++ b/link/stream.go
@@ -21,11 +21,11 @@
 	r.URL.Scheme = "http"
 	r.URL.Host = s.Address
 	replayable := r.Body == nil || r.Body == http.NoBody
-	kept := t.takeIdle(endpointOf(s), replayable)
-	if kept == nil {
+	idle := t.takeIdle(endpointOf(s), replayable)
+	if idle == nil {
 		return t.streamOnNewConn(r, s)
 	}
-	response, failure := t.streamOnConn(kept, r, s)
+	response, failure := t.streamOnConn(idle, r, s)
 	if failure == nil {
 		return response, nil
 	}
@@ -104,8 +104,8 @@
 	return b.ReadCloser.Read(p)
 }
 
-// readHead reads the header of the final response, and passes interim responses to the trace of the
-// request.
+// readHead reads the header of the final response, and passes interim responses to the client trace
+// of the request.
 func (c *conn) readHead(r *http.Request) (*http.Response, error) {
 	if err := c.awaitResponse(); err != nil {
 		return nil, err
--- a/link/stream_test.go
+++ b/link/stream_test.go
@@ -48,6 +48,7 @@
 	return lovageyard.BackendServer{Name: "raw", Address: listener.Addr().String()}, connections
 }
 
+// readRequest reads a request and its body.
 func readRequest(conn net.Conn) {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err == nil && request.Body != nil {
@@ -71,7 +72,7 @@
 	_, _ = conn.Write([]byte(text))
 }
 
-const readBody = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func closeAfterRequest(conn net.Conn) { readRequest(conn) }
 
@@ -80,7 +81,8 @@
 	write(conn, "HTTP/1.1 200 OK\r\nContent-")
 }
 
-func silent(conn net.Conn) {
+// neverRespond reads a request and waits until the client closes the connection.
+func neverRespond(conn net.Conn) {
 	readRequest(conn)
 	buffer := make([]byte, 1)
 	_, _ = conn.Read(buffer)
@@ -91,7 +93,7 @@
 	_ = conn.(*net.TCPConn).SetLinger(0)
 }
 
-func TestSendVerdicts(t *testing.T) {
+func TestStreamVerdicts(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		script  script
@@ -100,7 +102,7 @@
 		{"closed after the request", closeAfterRequest, lovageyard.VerdictMayHaveRun},
 		{"closed in the answer's header", closeInHeader, lovageyard.VerdictMayHaveRun},
 		{"reset after the request", resetAfterRequest, lovageyard.VerdictMayHaveRun},
-		{"silent", silent, lovageyard.VerdictMayHaveRun},
+		{"silent", neverRespond, lovageyard.VerdictMayHaveRun},
 	} {
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
 			t.Run(test.name+" "+method, func(t *testing.T) {
@@ -132,7 +134,7 @@
 	*strings.Reader
 }
 
-func TestSendIsNotRunWhenNothingListens(t *testing.T) {
+func TestStreamIsNotRunIfNothingListens(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -144,7 +146,7 @@
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
 }
 
-func TestSendIsNotRunWhenCancelledBeforeTheFirstByte(t *testing.T) {
+func TestStreamIsNotRunIfCancelledBeforeFirstByte(t *testing.T) {
 	c := qt.New(t)
 	server, _ := rawServer(t, closeAfterRequest)
 	client := newStreamTransport()
@@ -155,8 +157,8 @@
 	c.Assert(lovageyard.VerdictOf(err), qt.Equals, lovageyard.VerdictNotRun)
 }
 
-// TestChargeIsNotResent closes an idle connection as a second request is sent on it: a request
-// that may have run must not be resent.
+// A server closes a reused connection after it has read a request with a body. The request may have
+// run, so it must not be resent.
 func TestChargeIsNotResent(t *testing.T) {
 	c := qt.New(t)
 	server, connections := rawServer(t, func(conn net.Conn) {
@@ -164,7 +166,7 @@
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		write(conn, readBody)
+		write(conn, okResponse)
 		// The second request is read, and then the connection is closed without a response.
 		_, _ = http.ReadRequest(reader)
 	})
@@ -282,7 +284,7 @@
 	server, connections := rawServer(t, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		_, _ = http.ReadRequest(reader)
-		write(conn, readBody)
+		write(conn, okResponse)
 		_, _ = http.ReadRequest(reader)
 	})
 	client := newStreamTransport()
@@ -302,7 +304,7 @@
 	c := qt.New(t)
 	server, _ := rawServer(t, func(conn net.Conn) {
 		readRequestHead(conn)
-		write(conn, "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"+readBody)
+		write(conn, "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"+okResponse)
 	})
 	client := newStreamTransport()
 	defer client.Close()
