--- a/freshness/tracker.go
+++ b/freshness/tracker.go
@@ -20,7 +20,7 @@
 
 // PeerReport describes a peer's reply that contains the age of the peer's own confirmation.
 type PeerReport struct {
-	// RequestedAt is when the request was sent to the peer.
+	// RequestedAt is when the request was sent to the peer, by the clock of this machine.
 	RequestedAt time.Duration
 	// ReplyDelay is a lower bound of the time the peer took to reply, and Age the age of its confirmation when
 	// it replied.
@@ -32,7 +32,7 @@
 // ObserveRead and ObservePeer must be called from one goroutine; Age is safe for concurrent use.
 type Tracker struct {
 	confirmedAt atomic.Int64
-	// lastReadAt is a time not later than the one at which the platform's clock showed platformTime.
+	// lastReadAt is a lower bound of the time at which the platform's clock showed platformTime.
 	lastReadAt   time.Duration
 	platformTime time.Duration
 }
@@ -41,8 +41,9 @@
 func (t *Tracker) ObserveRead(r Read) {
 	at := r.StartedAt
 	if r.PlatformTime > t.platformTime && t.platformTime > 0 {
-		// A long poll is answered later than it started, namely by the time that has passed on the platform's
-		// clock since an earlier answer. A faulty platform clock cannot yield a time after the call returned.
+		// A long poll may be answered long after it started. The time of its answer is that of the previous
+		// answer plus the time that has passed on the platform's clock. A result after the call returned is
+		// due to a faulty platform clock and ignored.
 		if answeredAt := t.lastReadAt + r.PlatformTime - t.platformTime; answeredAt <= r.FinishedAt {
 			at = max(at, answeredAt)
 		}
@@ -68,7 +69,8 @@
 	}
 }
 
-// Age returns an upper bound of the time since the current configuration was the newest, or Unknown.
+// Age returns an upper bound of the time since the current configuration was the newest, or Unknown if it was
+// never confirmed.
 func (t *Tracker) Age(now time.Duration) time.Duration {
 	at := t.confirmedAt.Load()
 	if at == 0 {
--- a/freshness/tracker_test.go
+++ b/freshness/tracker_test.go
@@ -47,7 +47,7 @@
 	var tracker freshness.Tracker
 	tracker.ObservePeer(freshness.PeerReport{RequestedAt: 10 * second, ReplyDelay: 2 * second, Age: 1 * second})
 	c.Assert(tracker.Age(12*second), qt.Equals, second)
-	// A report with a long network delay makes the confirmation neither older nor newer.
+	// A report that yields an earlier confirmation changes nothing.
 	tracker.ObservePeer(freshness.PeerReport{RequestedAt: 10 * second, ReplyDelay: 0, Age: 1 * second})
 	c.Assert(tracker.Age(20*second), qt.Equals, 9*second)
 }
@@ -75,10 +75,10 @@
 				continue
 			}
 			requestedAt := now
-			receivedAt := requestedAt + delay.Draw(t, "question on its way")
+			receivedAt := requestedAt + delay.Draw(t, "request on its way")
 			answeredAt := receivedAt + delay.Draw(t, "held")
 			report := freshness.PeerReport{RequestedAt: requestedAt + followerAhead, ReplyDelay: answeredAt - receivedAt, Age: relay.Age(answeredAt)}
-			now = answeredAt + delay.Draw(t, "word on its way")
+			now = answeredAt + delay.Draw(t, "reply on its way")
 			follower.ObservePeer(report)
 			followerTruth = max(followerTruth, relayTruth)
 			if age := follower.Age(now + followerAhead); age != freshness.Unknown && age < now-followerTruth {
--- a/transfer/client.go
+++ b/transfer/client.go
@@ -37,7 +37,7 @@
 	Received int64
 }
 
-// Error returns the message with the limit and the number of bytes received.
+// Error returns a message with the limit and the number of bytes received.
 func (e *TimeoutError) Error() string {
 	return errors.Errorf("no progress for %s, after %d bytes of the answer", e.Limit, e.Received).Error()
 }
@@ -68,8 +68,9 @@
 
 // watchdog cancels an exchange that makes no progress.
 type watchdog struct {
-	timer    *time.Timer
-	expired  atomic.Bool
+	timer   *time.Timer
+	expired atomic.Bool
+	// limit is the timeout in effect, and received the number of bytes of the response body read.
 	limit    atomic.Int64
 	received atomic.Int64
 }
@@ -115,7 +116,7 @@
 	return &TimeoutError{Limit: time.Duration(w.limit.Load()), Received: w.received.Load()}
 }
 
-// progressReader restarts the watchdog's timer after each read of a request body.
+// progressReader is a body that restarts the watchdog's timer after each read.
 type progressReader struct {
 	io.ReadCloser
 	watchdog *watchdog
@@ -131,7 +132,8 @@
 	return n, err
 }
 
-// responseBody is the body of a response; each read of it restarts the watchdog's timer.
+// responseBody is the body of a response. Reads return a *TimeoutError once the watchdog has
+// cancelled the exchange.
 type responseBody struct {
 	progressReader
 	cancel context.CancelFunc
--- a/transfer/client_test.go
+++ b/transfer/client_test.go
@@ -88,7 +88,7 @@
 }
 
 // The timeout for the response headers starts with the last byte sent, so a long request must not
-// expire while it makes progress.
+// be aborted while it makes progress.
 func TestLongRequestWithProgressIsSent(t *testing.T) {
 	c := qt.New(t)
 	url := serve(c, func(w http.ResponseWriter, r *http.Request) {
@@ -108,7 +108,7 @@
 	c.Assert(received, qt.DeepEquals, content)
 }
 
-// slowReader returns one byte at a time.
+// slowReader returns one byte per read, each after a pause.
 type slowReader struct{ content []byte }
 
 func (s *slowReader) Read(p []byte) (int, error) {
