--- a/instance.go
+++ b/instance.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// InstanceState tells whether an instance or a server accepts new requests.
+// InstanceState is the lifecycle state of an entry instance or a backend server.
 type InstanceState string
 
-// States of an instance, as reported by the platform's listing and by the instances themselves.
+// States of an instance or a server. One that is leaving accepts no new requests, and one that is gone
+// has stopped or been removed.
 const (
 	StateLive    InstanceState = "live"
 	StateLeaving InstanceState = "leaving"
@@ -14,7 +15,8 @@
 
 // EntryInstance describes a running lovageyardd process to its peers.
 type EntryInstance struct {
-	Name            string        `json:"instance"`
+	Name string `json:"instance"`
+	// Incarnation is the start time of the process in Unix nanoseconds; a larger one is newer.
 	Incarnation     int64         `json:"life"`
 	FailureDomain   string        `json:"failure-domain"`
 	Region          string        `json:"region"`
@@ -66,6 +68,7 @@
 }
 
 // Outcome is the result of one attempt at a backend server, as used to update the server's state.
+// Report is valid only if Reported is set.
 type Outcome struct {
 	At       time.Time
 	Duration time.Duration
--- a/plan.go
+++ b/plan.go
@@ -26,16 +26,16 @@
 // HomePlacement maps the buckets of one home failure domain to sites.
 type HomePlacement struct {
 	FailureDomain string `json:"failure-domain"`
-	// Buckets holds, for each bucket, an index into ClassPlan.Sites.
+	// Buckets holds, for each bucket, an index into ClassPlan.Sites, or -1 if no site has capacity.
 	Buckets []int `json:"buckets"`
-	// From holds, during a move, the index of the site that may still serve each bucket.
+	// From holds, during a move, the index of the site that may still serve each bucket, or -1.
 	From []int `json:"from,omitempty"`
 }
 
 // MoveState is the state of a Move.
 type MoveState string
 
-// States of a move. A held move is paused; Move.Reason says why.
+// States of a move. A held move is suspended; Move.Reason says why.
 const (
 	MoveShifting MoveState = "shifting"
 	MoveHeld     MoveState = "held"
@@ -56,7 +56,7 @@
 	EmptyBy time.Time `json:"empty-by,omitzero"`
 	// InTime reports whether EndsAt meets EmptyBy.
 	InTime bool `json:"in-time"`
-	// Reason explains the state of the move, and how to speed up one that is late.
+	// Reason explains the state of the move and, if the move is late, which cap would be enough.
 	Reason string `json:"reason"`
 }
 
@@ -100,7 +100,7 @@
 }
 
 // GrantPlan divides the spare capacity of sites among entry instances in advance, so that they
-// can fail over without coordination.
+// can fail requests over without coordination.
 type GrantPlan struct {
 	// Holders lists the entry instances; each of them holds all of Grants.
 	Holders []string `json:"holders"`
--- a/ports.go
+++ b/ports.go
@@ -121,7 +121,8 @@
 // Timer is the source of time for the program, so that tests can substitute a manual clock.
 type Timer interface {
 	Now() time.Time
-	// Elapsed returns the time since a fixed point, including time when the machine was suspended.
+	// Elapsed returns a monotonic time since a fixed point, which includes time when the machine
+	// was suspended.
 	Elapsed() time.Duration
 	Subscribe(every time.Duration) Ticker
 	// After returns a Ticker that delivers once, after d.
--- a/steering.go
+++ b/steering.go
@@ -60,13 +60,13 @@
 	MaxBodyBytes int64
 }
 
-// Internal names of the platform's tables that entry instances follow.
+// Internal names of the tables that entry instances use in edge mode.
 const (
 	TableOrders    = "orders"
 	TableServers   = "servers"
 	TableInstances = "instances"
-	// TableQuarantine holds the requests that are refused because they crash servers. It is not
-	// among the followed tables.
+	// TableQuarantine holds the requests that are refused because they crash servers. An
+	// instance reads it once, when it starts.
 	TableQuarantine = "holds"
 )
 
@@ -105,7 +105,8 @@
 	return e.Field + ": " + e.Reason
 }
 
-// DomainDrain orders that a failure domain's servers get no requests. It applies until it is removed.
+// DomainDrain is an order that a failure domain's servers get no requests. It applies until its row
+// is removed.
 type DomainDrain struct {
 	FailureDomain string
 }
--- a/verdict.go
+++ b/verdict.go
@@ -33,8 +33,8 @@
 	Cause   error
 	// ConnectionLost means that the server closed the connection before it had responded.
 	ConnectionLost bool
-	// ServerExited means that the server is not running any more: its port refuses connections or
-	// belongs to another server.
+	// ServerExited means that the server no longer runs: its port refuses connections or belongs to
+	// another server.
 	ServerExited bool
 	// Throttled means that nothing was sent, because the server had signaled backpressure.
 	Throttled bool
@@ -53,7 +53,7 @@
 	return e.Cause
 }
 
-// NotRun returns an error for a request of which no byte reached a backend server.
+// NotRun returns an error for a request that certainly did not run at a backend server.
 func NotRun(reason string, cause error) *RequestError {
 	return &RequestError{Verdict: VerdictNotRun, Reason: reason, Cause: cause}
 }
