--- a/catalog/faulty.go
+++ b/catalog/faulty.go
@@ -6,11 +6,12 @@
 	"lovageyard.example/lovageyard"
 )
 
-// errMissingStart reports an entry without the start time that earlier entries of the server had:
-// another program has written it.
+// errMissingStart reports an entry without the start time that earlier entries of the server had. The
+// server itself would have written one.
 var errMissingStart = errors.New("the server's start is missing, which it has told before")
 
-// decode returns the record of a row, or an error if the row's owner can't have written it.
+// decode returns the record of a row. The error is errMissingStart, wrapped, if the row is a server's
+// entry that can be decoded but lacks the start time that the known incarnation has.
 func (s *State) decode(r lovageyard.Row) (lovageyard.Record, error) {
 	record, err := s.decoder.Decode(r)
 	if err != nil || record.Server == nil || record.Removed {
@@ -22,7 +23,7 @@
 	return record, nil
 }
 
-// recordInvalidRow records a row that can't be decoded, and reports whether this version was not
+// recordInvalidRow records a row for which decode failed, and reports whether this version was not
 // recorded before. An invalid entry of a server or an instance removes the server or instance and
 // is passed on to peers like a valid one. The configuration and drains keep their last valid value.
 func (s *State) recordInvalidRow(r lovageyard.Row) bool {
--- a/catalog/life_test.go
+++ b/catalog/life_test.go
@@ -20,7 +20,7 @@
 }
 
 // find returns a server of the current snapshot, or nil.
-func find(s *catalog.State, name string) *catalog.Server {
+func findServer(s *catalog.State, name string) *catalog.Server {
 	for _, server := range s.Snapshot().Servers {
 		if server.Name == name {
 			return &server
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// A server that restarts under the same name must not stay in state leaving, and has lost its caches.
+// A server that restarts under the same name must not stay in state leaving. It is cold again, as it
+// has lost its caches.
 func TestRestartUnderTheSameNameIsANewIncarnation(t *testing.T) {
 	c := qt.New(t)
 	s := populatedState(c, start)
@@ -37,11 +38,11 @@
 	s.ApplyChanges(lovageyard.TableServers, changes(11, 12, incarnationRow(c, "a", 12, 100, lovageyard.StateLeaving)), start)
 	// The same incarnation can't become live again.
 	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, incarnationRow(c, "a", 13, 100, lovageyard.StateLive)), start)
-	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLeaving)
+	c.Assert(findServer(s, "a").State, qt.Equals, lovageyard.StateLeaving)
 	later := start.Add(time.Minute)
 	s.ApplyChanges(lovageyard.TableServers, changes(13, 14, incarnationRow(c, "a", 14, 200, lovageyard.StateLive)), later)
-	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
-	c.Assert(find(s, "a").ColdUntil, qt.Equals, later.Add(3*time.Second))
+	c.Assert(findServer(s, "a").State, qt.Equals, lovageyard.StateLive)
+	c.Assert(findServer(s, "a").ColdUntil, qt.Equals, later.Add(3*time.Second))
 }
 
 // An entry with a start time that follows one without it comes from a restarted server.
@@ -50,7 +51,7 @@
 	s := populatedState(c, start)
 	later := start.Add(time.Minute)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, incarnationRow(c, "a", 11, 100, lovageyard.StateLive)), later)
-	c.Assert(find(s, "a").ColdUntil, qt.Equals, later.Add(3*time.Second))
+	c.Assert(findServer(s, "a").ColdUntil, qt.Equals, later.Add(3*time.Second))
 }
 
 // The clock of a server may step back between two incarnations, so the platform's versions order them.
@@ -59,13 +60,13 @@
 	s := populatedState(c, start)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 20, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
 	s.ApplyChanges(lovageyard.TableServers, changes(20, 30, incarnationRow(c, "a", 30, 100, lovageyard.StateLive)), start)
-	c.Assert(find(s, "a").Incarnation, qt.Equals, int64(100))
-	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
+	c.Assert(findServer(s, "a").Incarnation, qt.Equals, int64(100))
+	c.Assert(findServer(s, "a").State, qt.Equals, lovageyard.StateLive)
 	// A late report of the previous incarnation changes nothing, whoever sends it.
 	s.ApplyChanges(lovageyard.TableServers, changes(0, 25, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
 	s.ApplyList(lovageyard.TableServers, changes(0, 30, incarnationRow(c, "a", 20, 200, lovageyard.StateLeaving)), start)
-	c.Assert(find(s, "a").Incarnation, qt.Equals, int64(100))
-	c.Assert(find(s, "a").State, qt.Equals, lovageyard.StateLive)
+	c.Assert(findServer(s, "a").Incarnation, qt.Equals, int64(100))
+	c.Assert(findServer(s, "a").State, qt.Equals, lovageyard.StateLive)
 }
 
 // undecodableRow returns a row that no decoder accepts.
@@ -81,7 +82,7 @@
 	applied, invalid := s.ApplyChanges(lovageyard.TableServers, changes(10, 12, undecodableRow("a", 11), incarnationRow(c, "b", 12, 1, lovageyard.StateLive)), later)
 	c.Assert(applied, qt.IsTrue)
 	c.Assert(invalid, qt.HasLen, 1)
-	c.Assert(names(s), qt.DeepEquals, []string{"b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"b"})
 	c.Assert(s.Cursor(lovageyard.TableServers), qt.Equals, int64(12))
 	// It is reported once for each version, and passed on to peers.
 	_, invalid = s.ApplyChanges(lovageyard.TableServers, changes(10, 12, undecodableRow("a", 11)), later)
@@ -89,10 +90,10 @@
 	c.Assert(s.ChangesSince(lovageyard.TableServers, 10).Rows, qt.HasLen, 2)
 	// An older valid entry is not used again; a newer one is, without another warm-up.
 	s.ApplyList(lovageyard.TableServers, changes(0, 12, serverRow(c, "a", 3, lovageyard.StateLive), incarnationRow(c, "b", 12, 1, lovageyard.StateLive)), later)
-	c.Assert(names(s), qt.DeepEquals, []string{"b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"b"})
 	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, serverRow(c, "a", 13, lovageyard.StateLive)), later)
-	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
-	c.Assert(find(s, "a").ColdUntil.After(later), qt.IsFalse)
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(findServer(s, "a").ColdUntil.After(later), qt.IsFalse)
 }
 
 // An entry that can't be decoded removes the server immediately, also during an outage.
@@ -101,18 +102,18 @@
 	s := populatedState(c, start)
 	s.MarkUnreadable(lovageyard.TableServers)
 	s.ApplyList(lovageyard.TableServers, changes(0, 12, undecodableRow("a", 11), serverRow(c, "b", 4, lovageyard.StateLive)), start)
-	c.Assert(names(s), qt.DeepEquals, []string{"b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"b"})
 }
 
-// A server whose entry had a start time has one in each later entry.
+// A server that writes its start time writes it in each entry, so an entry without it is invalid.
 func TestEntryWithoutStartTimeRemovesTheServer(t *testing.T) {
 	c := qt.New(t)
 	s := populatedState(c, start)
 	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, incarnationRow(c, "a", 11, 100, lovageyard.StateLive)), start)
 	s.ApplyChanges(lovageyard.TableServers, changes(11, 12, serverRow(c, "a", 12, lovageyard.StateLive)), start)
-	c.Assert(names(s), qt.DeepEquals, []string{"b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"b"})
 	s.ApplyChanges(lovageyard.TableServers, changes(12, 13, incarnationRow(c, "a", 13, 100, lovageyard.StateLive)), start)
-	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"a", "b"})
 }
 
 // A configuration that can't be decoded never replaces a valid one, and is reported once.
@@ -127,8 +128,8 @@
 	c.Assert(s.Snapshot().Version(), qt.Equals, uint64(7))
 }
 
-// Whatever is written, and in whatever order and form rows arrive, the newest row of each key
-// decides: if it can be decoded the server is used, otherwise not.
+// Rows may arrive in any order, as changes or as full lists. The newest row of each key decides: the
+// server is used if that row can be decoded.
 func TestNewestEntryWinsInAnyOrder(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -138,7 +139,7 @@
 			key := string(keys[rapid.IntRange(0, len(keys)-1).Draw(t, "key")])
 			switch rapid.IntRange(0, 4).Draw(t, "writer") {
 			case 0:
-				history = append(history, removed(lovageyard.TableServers, key, version))
+				history = append(history, removedRow(lovageyard.TableServers, key, version))
 			case 1:
 				history = append(history, undecodableRow(key, version))
 			default:
@@ -165,6 +166,6 @@
 				want = append(want, key)
 			}
 		}
-		c.Assert(names(s), qt.DeepEquals, want)
+		c.Assert(serverNames(s), qt.DeepEquals, want)
 	})
 }
--- a/catalog/older.go
+++ b/catalog/older.go
@@ -32,8 +32,8 @@
 	s.previousValues[r.Table][r.Key] = kept
 }
 
-// DeltaBase returns the previous version of a row that a peer has whose copy of the table is at
-// version known; it returns false if that version is no longer kept.
+// DeltaBase returns the row that a delta to r can be based on: the version before r that a peer has
+// if it has read the table up to version known. It returns false if that version is not kept.
 func (s *State) DeltaBase(r lovageyard.Row, known int64) (lovageyard.Row, bool) {
 	kept := s.previousValues[r.Table][r.Key]
 	for n := len(kept) - 1; n >= 0; n-- {
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -10,11 +10,10 @@
 	"lovageyard.example/lovageyard/account"
 )
 
-// Timeouts of rows.
 const (
 	// expiryGrace is how long a server is still used after its removal is read, if its entry may
 	// have expired during an outage of the platform. Servers register again within about 2 s of
-	// the end of an outage; detecting the end takes a part of that time.
+	// the end of an outage, and detecting the end takes a part of these 2 s.
 	expiryGrace = 1500 * time.Millisecond
 )
 
@@ -25,7 +24,8 @@
 	cursors map[string]int64
 	// lastChanges holds the version of the last change of each table.
 	lastChanges map[string]int64
-	// listVersions holds the version of the last full list of each table; removals before it are not known.
+	// listVersions holds the version of the last full list of each table. Removals before it may be
+	// unknown, as a list contains only the rows that exist.
 	listVersions map[string]int64
 	rows         map[string]map[string]lovageyard.Row
 	config       *lovageyard.Configuration
@@ -35,9 +35,9 @@
 	servers   map[string]*server
 	drained   map[string]bool
 	instances map[string]lovageyard.EntryInstance
-	// restoredAt is when the drain of a failure domain ended.
+	// restoredAt is when the last drain of each failure domain ended.
 	restoredAt map[string]time.Time
-	// invalidRows holds the version of each row that could not be decoded, by table and key.
+	// invalidRows holds the newest version of each invalid row, by table and key.
 	invalidRows map[string]map[string]int64
 	// previousValues holds earlier values of large rows, oldest first, from which deltas for peers
 	// that have one of them are made.
@@ -51,7 +51,8 @@
 type server struct {
 	lovageyard.BackendServer
 	coldUntil time.Time
-	// expiresAt is when a server whose entry was removed during an outage is dropped, or zero.
+	// expiresAt is when the server is dropped if its entry was removed during an outage, and zero
+	// otherwise.
 	expiresAt time.Time
 	// invalid is set if the newest entry can't be decoded, although an earlier one could.
 	invalid bool
@@ -105,7 +106,7 @@
 	return s.config != nil && s.cursors[lovageyard.TableServers] > 0 && s.cursors[lovageyard.TableInstances] > 0
 }
 
-// ApplyList applies a full list of a table: rows that it lacks have been removed. A list older than
+// ApplyList applies a full list of a table and removes the rows that it lacks. A list older than
 // the cursor is ignored. It returns the rows that could not be decoded.
 func (s *State) ApplyList(table string, list lovageyard.Changes, now time.Time) []InvalidRow {
 	if list.To < s.cursors[table] {
@@ -229,12 +230,12 @@
 		s.removeServer(known, now)
 		return
 	}
-	cold := r.Server.ColdFor.Std()
+	warmUp := r.Server.ColdFor.Std()
 	if known == nil || known.Incarnation != r.Server.Incarnation {
 		// An entry with a start time that follows entries without one comes from a restarted server.
 		known = &server{}
 		s.servers[r.Key] = known
-		cold = max(cold, s.joinWarmUp(r.Server.Service))
+		warmUp = max(warmUp, s.joinWarmUp(r.Server.Service))
 	}
 	leaving := known.State == lovageyard.StateLeaving
 	known.BackendServer = *r.Server
@@ -244,13 +245,13 @@
 		// An incarnation that is leaving never becomes live again.
 		known.State = lovageyard.StateLeaving
 	}
-	if until := now.Add(cold); cold > 0 && until.After(known.coldUntil) {
+	if until := now.Add(warmUp); warmUp > 0 && until.After(known.coldUntil) {
 		known.coldUntil = until
 	}
 }
 
-// joinWarmUp returns the least warm-up time of a server that has just joined, whatever its entry
-// says. Servers in the first list of the table were running before, and need none.
+// joinWarmUp returns the minimum warm-up time of a server that has just joined, whatever its entry
+// says. Servers in the first list of the table were running before, so they need none.
 func (s *State) joinWarmUp(service string) time.Duration {
 	if s.cursors[lovageyard.TableServers] == 0 || s.config == nil {
 		return 0
@@ -285,7 +286,7 @@
 }
 
 // ChangesSince returns the changes of a table after a version, for a lagging peer. If removals
-// since that version may not be known, it returns the whole table, as changes after version 0.
+// since that version may be unknown, it returns the whole table, as changes after version 0.
 func (s *State) ChangesSince(table string, after int64) lovageyard.Changes {
 	whole := after < s.listVersions[table]
 	c := lovageyard.Changes{After: after, To: s.cursors[table]}
@@ -301,7 +302,7 @@
 	return c
 }
 
-// Instance returns an entry instance as its row on the platform describes it, and whether it has one.
+// Instance returns an entry instance as its row on the platform describes it, and whether it has a row.
 func (s *State) Instance(name string) (lovageyard.EntryInstance, bool) {
 	known, found := s.instances[name]
 	return known, found
@@ -350,9 +351,9 @@
 	if !found || s.config == nil {
 		return known.coldUntil
 	}
-	cold := restored.Add(s.config.Services[known.Service].ColdFor)
-	if cold.After(known.coldUntil) {
-		return cold
+	coldUntil := restored.Add(s.config.Services[known.Service].ColdFor)
+	if coldUntil.After(known.coldUntil) {
+		return coldUntil
 	}
 	return known.coldUntil
 }
--- a/catalog/state_test.go
+++ b/catalog/state_test.go
@@ -63,7 +63,7 @@
 	return row(c, lovageyard.TableServers, name, version, newServer(name, state))
 }
 
-func removed(table, key string, version int64) lovageyard.Row {
+func removedRow(table, key string, version int64) lovageyard.Row {
 	return lovageyard.Row{Table: table, Key: key, Version: version, Deleted: true}
 }
 
@@ -88,7 +88,7 @@
 	return s
 }
 
-func names(s *catalog.State) []string {
+func serverNames(s *catalog.State) []string {
 	var out []string
 	for _, server := range s.Snapshot().Servers {
 		out = append(out, server.Name)
@@ -103,7 +103,7 @@
 	s := catalog.NewState(jsonDecoder{})
 	c.Assert(s.Ready(), qt.IsFalse)
 	c.Assert(populatedState(c, start).Ready(), qt.IsTrue)
-	// Each of them is needed.
+	// A state without any one of the tables is not ready.
 	for _, missing := range lovageyard.FollowedTables() {
 		s := catalog.NewState(jsonDecoder{})
 		for _, table := range lovageyard.FollowedTables() {
@@ -134,9 +134,9 @@
 func TestChangesThatLeaveAGapAreRejected(t *testing.T) {
 	c := qt.New(t)
 	s := populatedState(c, start)
-	applied, _ := s.ApplyChanges(lovageyard.TableServers, changes(12, 14, removed(lovageyard.TableServers, "a", 13)), start)
+	applied, _ := s.ApplyChanges(lovageyard.TableServers, changes(12, 14, removedRow(lovageyard.TableServers, "a", 13)), start)
 	c.Assert(applied, qt.IsFalse)
-	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"a", "b"})
 	c.Assert(s.Cursor(lovageyard.TableServers), qt.Equals, int64(10))
 }
 
@@ -152,8 +152,8 @@
 func TestRemovedServerIsDroppedImmediately(t *testing.T) {
 	c := qt.New(t)
 	s := populatedState(c, start)
-	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, removed(lovageyard.TableServers, "a", 11)), start)
-	c.Assert(names(s), qt.DeepEquals, []string{"b"})
+	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, removedRow(lovageyard.TableServers, "a", 11)), start)
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"b"})
 }
 
 func TestLeavingServerNeverComesBack(t *testing.T) {
@@ -171,25 +171,25 @@
 	s.MarkUnreadable(lovageyard.TableServers)
 	s.ApplyList(lovageyard.TableServers, changes(0, 20), start)
 	s.MarkReadable(lovageyard.TableServers)
-	c.Assert(names(s), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"a", "b"})
 
 	// One registers again; the other is dropped after the grace period.
 	s.ApplyChanges(lovageyard.TableServers, changes(20, 21, serverRow(c, "a", 21, lovageyard.StateLive)), start.Add(time.Second))
 	c.Assert(s.Expire(start.Add(1400*time.Millisecond)), qt.IsFalse)
 	c.Assert(s.Expire(start.Add(1600*time.Millisecond)), qt.IsTrue)
-	c.Assert(names(s), qt.DeepEquals, []string{"a"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"a"})
 
-	// Removals after the first read take effect immediately: the time limit for leaving servers
-	// holds again soon after the outage.
-	s.ApplyChanges(lovageyard.TableServers, changes(21, 22, removed(lovageyard.TableServers, "a", 22)), start.Add(1700*time.Millisecond))
-	c.Assert(names(s), qt.HasLen, 0)
+	// Removals after the first read take effect immediately, because the grace period applies only
+	// to entries that may have expired during the outage.
+	s.ApplyChanges(lovageyard.TableServers, changes(21, 22, removedRow(lovageyard.TableServers, "a", 22)), start.Add(1700*time.Millisecond))
+	c.Assert(serverNames(s), qt.HasLen, 0)
 }
 
 func TestListRemovesMissingRows(t *testing.T) {
 	c := qt.New(t)
 	s := populatedState(c, start)
 	s.ApplyList(lovageyard.TableServers, changes(0, 20, serverRow(c, "b", 4, lovageyard.StateLive)), start)
-	c.Assert(names(s), qt.DeepEquals, []string{"b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"b"})
 }
 
 // A server that joins is cold even if its entry has no warm-up time.
@@ -208,14 +208,14 @@
 	s.ApplyChanges(lovageyard.TableOrders, changes(10, 11, lovageyard.Row{Table: lovageyard.TableOrders, Key: "north-1", Version: 11}), start)
 	c.Assert(s.Snapshot().Drained["north-1"], qt.IsTrue)
 	restored := start.Add(time.Minute)
-	s.ApplyChanges(lovageyard.TableOrders, changes(11, 12, removed(lovageyard.TableOrders, "north-1", 12)), restored)
+	s.ApplyChanges(lovageyard.TableOrders, changes(11, 12, removedRow(lovageyard.TableOrders, "north-1", 12)), restored)
 	view := s.Snapshot()
 	c.Assert(view.Drained["north-1"], qt.IsFalse)
 	c.Assert(view.Servers[0].ColdUntil, qt.Equals, restored.Add(3*time.Second))
 }
 
-// This instance may never have read the removal of a server that a peer still has; the peer must
-// learn of the removal nevertheless.
+// An instance that starts after a server was removed never reads the removal, but a lagging peer that
+// still has the server must receive it.
 func TestLaggingPeerGetsTheWholeTableIfRemovalsAreUnknown(t *testing.T) {
 	c := qt.New(t)
 	peer := populatedState(c, start)
@@ -225,18 +225,18 @@
 		applied, _ := peer.ApplyChanges(table, fresh.ChangesSince(table, peer.Cursor(table)), start)
 		c.Assert(applied, qt.IsTrue)
 	}
-	c.Assert(names(peer), qt.DeepEquals, []string{"b"})
+	c.Assert(serverNames(peer), qt.DeepEquals, []string{"b"})
 	c.Assert(peer.Cursor(lovageyard.TableServers), qt.Equals, int64(20))
 }
 
 func TestLaggingPeerGetsOnlyTheChanges(t *testing.T) {
 	c := qt.New(t)
 	ahead, behind := populatedState(c, start), populatedState(c, start)
-	ahead.ApplyChanges(lovageyard.TableServers, changes(10, 11, removed(lovageyard.TableServers, "a", 11)), start)
+	ahead.ApplyChanges(lovageyard.TableServers, changes(10, 11, removedRow(lovageyard.TableServers, "a", 11)), start)
 	delta := ahead.ChangesSince(lovageyard.TableServers, behind.Cursor(lovageyard.TableServers))
 	c.Assert(delta.Rows, qt.HasLen, 1)
 	behind.ApplyChanges(lovageyard.TableServers, delta, start)
-	c.Assert(names(behind), qt.DeepEquals, []string{"b"})
+	c.Assert(serverNames(behind), qt.DeepEquals, []string{"b"})
 }
 
 func TestMatchPrefersTheLongestPrefixOfTheHost(t *testing.T) {
@@ -262,11 +262,11 @@
 	s := populatedState(c, start)
 	first := s.Snapshot()
 	c.Assert(s.Snapshot() == first, qt.IsTrue)
-	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, removed(lovageyard.TableServers, "a", 11)), start)
+	s.ApplyChanges(lovageyard.TableServers, changes(10, 11, removedRow(lovageyard.TableServers, "a", 11)), start)
 	c.Assert(s.Snapshot() == first, qt.IsFalse)
-	c.Assert(names(s), qt.DeepEquals, []string{"b"})
+	c.Assert(serverNames(s), qt.DeepEquals, []string{"b"})
 
-	// A full list without rows changes the cursor.
+	// A full list without rows changes the cursor, so it needs a new snapshot.
 	empty := catalog.NewState(jsonDecoder{})
 	c.Assert(empty.Snapshot().Cursors[lovageyard.TableInstances], qt.Equals, int64(0))
 	empty.ApplyList(lovageyard.TableInstances, changes(0, 5), start)
