--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -39,52 +39,52 @@
 	}
 	for _, test := range []struct {
 		name  string
-		do    func(table *Table)
+		setUp func(table *Table)
 		after time.Duration
 		live  bool
 	}{
-		{"only listed", func(x *Table) { x.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, time.Second, true},
-		{"listed, no heartbeat", func(x *Table) { x.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, SuspectTimeout, false},
-		{"observed", func(x *Table) { x.Observe(member("peer", "a1", 1, 1), testStart) }, time.Second, true},
-		{"silent although listed", func(x *Table) {
-			x.Observe(member("peer", "a1", 1, 1), testStart)
-			x.ApplyList(listed(lovageyard.StateLive, 1), testStart)
+		{"only listed", func(table *Table) { table.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, time.Second, true},
+		{"listed, no heartbeat", func(table *Table) { table.ApplyList(listed(lovageyard.StateLive, 1), testStart) }, SuspectTimeout, false},
+		{"observed", func(table *Table) { table.Observe(member("peer", "a1", 1, 1), testStart) }, time.Second, true},
+		{"silent although listed", func(table *Table) {
+			table.Observe(member("peer", "a1", 1, 1), testStart)
+			table.ApplyList(listed(lovageyard.StateLive, 1), testStart)
 		}, SuspectTimeout, false},
-		{"silent in another domain", func(x *Table) { x.Observe(member("peer", "b1", 1, 1), testStart) }, SuspectTimeout, true},
-		{"silent for long in another domain", func(x *Table) { x.Observe(member("peer", "b1", 1, 1), testStart) }, 2 * RemoteSuspectTimeout, false},
-		{"absent from the list", func(x *Table) {
-			x.Observe(member("peer", "a1", 1, 1), testStart)
-			x.ApplyList(nil, testStart)
+		{"silent in another domain", func(table *Table) { table.Observe(member("peer", "b1", 1, 1), testStart) }, SuspectTimeout, true},
+		{"silent for long in another domain", func(table *Table) { table.Observe(member("peer", "b1", 1, 1), testStart) }, 2 * RemoteSuspectTimeout, false},
+		{"absent from the list", func(table *Table) {
+			table.Observe(member("peer", "a1", 1, 1), testStart)
+			table.ApplyList(nil, testStart)
 		}, time.Second, true},
-		{"reports that it is leaving", func(x *Table) {
-			x.Observe(member("peer", "a1", 1, 1), testStart)
-			x.Observe(leaving(member("peer", "a1", 1, 2)), testStart)
+		{"reports that it is leaving", func(table *Table) {
+			table.Observe(member("peer", "a1", 1, 1), testStart)
+			table.Observe(leaving(member("peer", "a1", 1, 2)), testStart)
 		}, 0, false},
-		{"listed as leaving", func(x *Table) {
-			x.Observe(member("peer", "a1", 1, 1), testStart)
-			x.ApplyList(listed(lovageyard.StateLeaving, 1), testStart)
+		{"listed as leaving", func(table *Table) {
+			table.Observe(member("peer", "a1", 1, 1), testStart)
+			table.ApplyList(listed(lovageyard.StateLeaving, 1), testStart)
 		}, 0, false},
-		{"earlier incarnation listed as leaving", func(x *Table) {
-			x.Observe(member("peer", "a1", 2, 1), testStart)
-			x.ApplyList(listed(lovageyard.StateLeaving, 1), testStart)
+		{"earlier incarnation listed as leaving", func(table *Table) {
+			table.Observe(member("peer", "a1", 2, 1), testStart)
+			table.ApplyList(listed(lovageyard.StateLeaving, 1), testStart)
 		}, 0, true},
-		{"new incarnation after leaving", func(x *Table) {
-			x.Observe(leaving(member("peer", "a1", 1, 9)), testStart)
-			x.Observe(member("peer", "a1", 2, 1), testStart)
+		{"new incarnation after leaving", func(table *Table) {
+			table.Observe(leaving(member("peer", "a1", 1, 9)), testStart)
+			table.Observe(member("peer", "a1", 2, 1), testStart)
 		}, 0, true},
-		{"report of an old incarnation", func(x *Table) {
-			x.Observe(member("peer", "a1", 2, 1), testStart)
-			x.Observe(leaving(member("peer", "a1", 1, 9)), testStart)
+		{"report of an old incarnation", func(table *Table) {
+			table.Observe(member("peer", "a1", 2, 1), testStart)
+			table.Observe(leaving(member("peer", "a1", 1, 9)), testStart)
 		}, 0, true},
-		{"older heartbeat", func(x *Table) {
-			x.Observe(member("peer", "a1", 1, 5), testStart)
-			x.Observe(member("peer", "a1", 1, 4), testStart.Add(3*time.Second))
+		{"older heartbeat", func(table *Table) {
+			table.Observe(member("peer", "a1", 1, 5), testStart)
+			table.Observe(member("peer", "a1", 1, 4), testStart.Add(3*time.Second))
 		}, SuspectTimeout, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			table := NewTable(member("self", "a1", 1, 0), testStart)
-			test.do(table)
+			test.setUp(table)
 			table.Tick(testStart.Add(test.after))
 			want := []string{"self"}
 			if test.live {
@@ -257,7 +257,7 @@
 	c.Assert(passed[0].Age, qt.Equals, 2*time.Second)
 }
 
-// Look-ups return instances of the own region, so their heartbeats have priority.
+// Look-ups return mostly instances of the client's region, so gossip for a region prefers its members.
 func TestGossipPrefersOneRegion(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
--- a/instance/rank.go
+++ b/instance/rank.go
@@ -11,11 +11,11 @@
 	"lovageyard.example/lovageyard"
 )
 
-// Numbers of instances in the answer to a look-up.
+// Numbers of instances in the response to a look-up.
 const (
 	homeRanks  = 2
 	otherRanks = 2
-	// MaxRanks is the maximum number of instances in an answer.
+	// MaxRanks is the maximum number of instances in a response.
 	MaxRanks = homeRanks + otherRanks
 )
 
@@ -36,7 +36,8 @@
 	positions []int
 }
 
-// Ranking is the result of one look-up: the first Count elements are positions in the directory, best first.
+// Ranking is the result of one look-up: the first Count elements of Positions are positions in the
+// directory, best first.
 type Ranking struct {
 	Positions [MaxRanks]int
 	Count     int
@@ -183,18 +184,18 @@
 func RendezvousRank(names []string, key, self string) int {
 	salt := xxhash.Sum64String(key)
 	own := MixHash(salt ^ xxhash.Sum64String(self))
-	place, found := 0, false
+	rank, found := 0, false
 	for _, name := range names {
 		if name == self {
 			found = true
 			continue
 		}
 		if score := MixHash(salt ^ xxhash.Sum64String(name)); score > own || score == own && name < self {
-			place++
+			rank++
 		}
 	}
 	if !found {
 		return -1
 	}
-	return place
+	return rank
 }
--- a/instance/table.go
+++ b/instance/table.go
@@ -18,7 +18,8 @@
 	// RemoteSuspectTimeout is the minimum of that time for instances of other failure domains, whose
 	// heartbeats arrive by gossip.
 	RemoteSuspectTimeout = 15 * time.Second
-	// remoteSuspectTimeoutPerMember is added for each known instance, as gossip of each one becomes rarer.
+	// remoteSuspectTimeoutPerMember is added for each known instance, because with more instances each
+	// one is included in gossip less often.
 	remoteSuspectTimeoutPerMember = 200 * time.Millisecond
 	// ForgetTimeout is the time after the suspect timeout at which an instance is removed.
 	ForgetTimeout = time.Minute
@@ -65,8 +66,9 @@
 	domain  string
 	entries map[string]*entry
 	// live and relays are caches; they are recomputed after a change of a liveness state.
-	live     []lovageyard.EntryInstance
-	relays   map[string][]string
+	live   []lovageyard.EntryInstance
+	relays map[string][]string
+	// rotation counts the selections of members for gossip, which cover all members in turn.
 	rotation int
 	// fixedTimeout is the suspect timeout of every member if it is above 0; see SetSuspectTimeout.
 	fixedTimeout time.Duration
@@ -258,7 +260,7 @@
 	return known
 }
 
-// Find returns the member with a name, and whether it is known; it may be suspect or removed.
+// Find returns the member with a name, and whether it is known. The member may be suspect or removed.
 func (t *Table) Find(name string) (Member, bool) {
 	e := t.entries[name]
 	if e == nil {
@@ -270,36 +272,36 @@
 // recentPeriod is how long a member that changed has priority in gossip.
 const recentPeriod = 30 * time.Second
 
-// Gossip returns up to count members to send to a peer. A quarter is for members that changed
-// recently; the rest rotates through all members, half of it for the own failure domain. The steps
-// of members of other failure domains are left out, as only neighbours need them.
+// Gossip returns up to count members to send to a peer. Up to a quarter are members that changed
+// recently; the rest rotates through all members, half of it for this instance's failure domain. The
+// steps of members of other failure domains are left out, as only neighbours need them.
 func (t *Table) Gossip(count int, now time.Time) []Member {
-	isFirst := func(m Member) bool { return m.FailureDomain == t.domain }
-	return t.dropRemoteSteps(t.selectMembers(t.Observed(), count, now, isFirst, 0.5))
+	isPreferred := func(m Member) bool { return m.FailureDomain == t.domain }
+	return t.dropRemoteSteps(t.selectMembers(t.Observed(), count, now, isPreferred, 0.5))
 }
 
-// regionShare is the part of GossipForRegion's rotation that is for members of the region.
+// regionShare is the share of GossipForRegion's rotation that is for members of the region.
 const regionShare = 0.75
 
-// GossipForRegion returns up to count members to send to a peer. A quarter is for members that
-// changed recently; the rest rotates through all members, most of it for one region. Members whose
+// GossipForRegion returns up to count members to send to a peer. Up to a quarter are members that
+// changed recently; the rest rotates through all members, most of it for the given region. Members whose
 // suspect timeout has passed are left out.
 func (t *Table) GossipForRegion(region string, count int, now time.Time) []Member {
 	observed := slices.DeleteFunc(t.Observed(), func(m Member) bool {
 		e := t.entries[m.Name]
 		return now.Sub(e.lastSeen) >= t.suspectTimeout(e)
 	})
-	isFirst := func(m Member) bool { return m.Region == region }
-	chosen := t.selectMembers(observed, count, now, isFirst, regionShare)
+	isPreferred := func(m Member) bool { return m.Region == region }
+	chosen := t.selectMembers(observed, count, now, isPreferred, regionShare)
 	for i := range chosen {
 		chosen[i].Age = now.Sub(t.entries[chosen[i].Name].lastSeen)
 	}
 	return t.dropRemoteSteps(chosen)
 }
 
-// selectMembers returns up to count members: a quarter of them recently changed, and of the rest the
-// given share from the rotation of the members for which isFirst returns true.
-func (t *Table) selectMembers(members []Member, count int, now time.Time, isFirst func(Member) bool, share float64) []Member {
+// selectMembers returns up to count members. Up to a quarter are members that changed recently; of the
+// rest, the given share rotates through the preferred members and the remainder through the others.
+func (t *Table) selectMembers(members []Member, count int, now time.Time, isPreferred func(Member) bool, share float64) []Member {
 	if len(members) <= count {
 		return members
 	}
@@ -310,10 +312,10 @@
 			selected = append(selected, m)
 		}
 	}
-	first := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !isFirst(m) })
-	others := slices.DeleteFunc(members, isFirst)
-	forFirst := int(share * float64(count-len(selected)))
-	selected = append(selected, rotatingWindow(first, t.rotation, min(forFirst, len(first)))...)
+	preferred := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !isPreferred(m) })
+	others := slices.DeleteFunc(members, isPreferred)
+	preferredCount := int(share * float64(count-len(selected)))
+	selected = append(selected, rotatingWindow(preferred, t.rotation, min(preferredCount, len(preferred)))...)
 	return append(selected, rotatingWindow(others, t.rotation, min(count-len(selected), len(others)))...)
 }
 
@@ -335,8 +337,8 @@
 	return members
 }
 
-// Neighbours returns the other instances of the own failure domain that may still serve requests,
-// those that are leaving included, ordered by name.
+// Neighbours returns the other instances of this instance's failure domain that may still serve
+// requests, including those that are leaving, ordered by name.
 func (t *Table) Neighbours() []Member {
 	var members []Member
 	for name, e := range t.entries {
