--- a/placement/conclude.go
+++ b/placement/conclude.go
@@ -9,7 +9,7 @@
 	"lovageyard.example/lovageyard"
 )
 
-// output returns the plan for the desired placement and the state of its move.
+// output returns the plan for the desired placement, or the current plan with the new state of its move.
 func (r *round) output() Output {
 	switch {
 	case r.changes() > 0:
@@ -25,6 +25,7 @@
 	return Output{Plan: r.in.Current, Reason: "nothing has to move"}
 }
 
+// changes returns the number of buckets whose desired site is not the current one.
 func (r *round) changes() int {
 	count := 0
 	for i := range r.desired {
@@ -69,6 +70,7 @@
 	return fmt.Sprintf("%d buckets fit nowhere within headroom; add capacity, restore a site or lower the demand", r.unplaceable)
 }
 
+// holdMove suspends the move; the plan changes only if it is not suspended for the same reason already.
 func (r *round) holdMove(reason string) Output {
 	before := r.in.Current.Move
 	if before != nil && before.State == lovageyard.MoveHeld && before.Reason == reason {
@@ -80,7 +82,7 @@
 	return r.updateMove(m, reason)
 }
 
-// updateMove returns the current placement with a new state of the move; nil means that the move is over.
+// updateMove returns the current plan with a new state of the move; nil means that the move is over.
 func (r *round) updateMove(m *lovageyard.Move, reason string) Output {
 	p := r.in.Current
 	p.Move = m
@@ -94,7 +96,7 @@
 	return Output{Plan: p, Changed: true, Reason: reason}
 }
 
-// describeMove returns the move from the current to the desired placement, with its expected end.
+// describeMove returns the move to the desired placement, with its expected end.
 func (r *round) describeMove() *lovageyard.Move {
 	m := &lovageyard.Move{
 		Class:     r.in.Class.Name,
@@ -128,7 +130,7 @@
 	return fmt.Sprintf("the bound is too early for the cap; a cap of %.2f would meet it", m.Remaining/intervals)
 }
 
-// remainingShare returns the share of a home's demand that has to move, the largest of all homes.
+// remainingShare returns the largest share of a home's demand that has to move.
 func (r *round) remainingShare() float64 {
 	largest := 0.0
 	for i, h := range r.in.Homes {
--- a/placement/input.go
+++ b/placement/input.go
@@ -11,9 +11,9 @@
 	Name          string
 	FailureDomain string
 	Region        string
-	// Capacity is the capacity of the site's live servers, in requests a second; 0 if unknown.
+	// Capacity is what the site's live servers can serve, in requests per second, or 0 if unknown.
 	Capacity float64
-	// OtherLoad is the load of the service's other classes, in requests a second.
+	// OtherLoad is the load of the service's other classes, in requests per second.
 	OtherLoad float64
 	// Age is the age of the newest measurement.
 	Age time.Duration
@@ -21,7 +21,7 @@
 	Alive bool
 }
 
-// Home is the measured demand of one home failure domain, in requests a second.
+// Home is the measured demand of one home failure domain, in requests per second by bucket.
 type Home struct {
 	FailureDomain string
 	Region        string
@@ -60,9 +60,10 @@
 	Current lovageyard.ClassPlan
 	// AppliedStep is the newest plan step that all live entry instances have applied in full.
 	AppliedStep int64
-	// Remaining is the largest share of demand, 0 to 1, that one of them still has to move.
+	// Remaining is the largest share of its demand, 0 to 1, that any of these instances still has to move.
 	Remaining float64
-	Epoch     int64
+	// Epoch is the lease epoch of the planner, which is written to the plan.
+	Epoch int64
 }
 
 // Output is the result of one round.
--- a/placement/round.go
+++ b/placement/round.go
@@ -14,7 +14,7 @@
 	FreshAge = 12 * time.Second
 	// StaleAge is the age from which on a site receives no further buckets.
 	StaleAge = 30 * time.Second
-	// maxMargin is the share of capacity reserved at a site whose measurement has almost reached StaleAge.
+	// maxMargin is the share of capacity that is reserved at a site whose measurement is almost StaleAge old.
 	maxMargin = 0.2
 	// minLatencyGain is the least latency that a move to a nearer site has to save.
 	minLatencyGain = 2 * time.Millisecond
@@ -22,8 +22,8 @@
 	unplaced = -1
 )
 
-// Round computes the plan of one class from the current plan and measurements. The plan may be ahead
-// of what the entry instances apply, as each of them limits its own moves by the cap.
+// Round computes the next plan of one class from the current plan and measurements. The plan may be
+// ahead of what the entry instances apply, as each of them limits its own moves by the cap.
 func Round(in Input) Output {
 	r := newRound(in)
 	if len(r.sites) == 0 {
@@ -39,16 +39,20 @@
 
 // round is the state of one round. Sites are referred to by their position in sites.
 type round struct {
-	in        Input
-	sites     []Site
+	in    Input
+	sites []Site
+	// eligible and available hold, for each site, whether it may serve the class, and how many more
+	// requests per second it can take.
 	eligible  []bool
 	available []float64
 	// current is the site of each bucket in the plan in force, previous the site that may still serve
 	// it, and desired the site that the round selects. All three are indexed by home, then by bucket.
-	current     [][]int
-	previous    [][]int
-	desired     [][]int
+	current  [][]int
+	previous [][]int
+	desired  [][]int
+	// bucketOrder holds the buckets of each home in descending order of demand.
 	bucketOrder [][]int
+	// unplaceable counts the buckets that need another site but fit at none.
 	unplaceable int
 }
 
@@ -112,6 +116,7 @@
 	return len(sites) == 0 || slices.Contains(sites, site)
 }
 
+// applyOrigins sets the previous sites of the buckets that the plan is moving.
 func (r *round) applyOrigins(home int, origins []int) {
 	for b, site := range origins {
 		if site != unplaced {
@@ -167,14 +172,14 @@
 	return min(maxMargin, maxMargin*float64(age-FreshAge)/float64(StaleAge-FreshAge))
 }
 
-// canGain reports whether a site may receive a bucket with the given demand, in requests a second.
+// canGain reports whether a site may receive a bucket with the given demand, in requests per second.
 func (r *round) canGain(site int, demand float64) bool {
 	return r.eligible[site] && r.sites[site].Age < StaleAge && r.available[site] >= demand
 }
 
 // sitesByLatency returns the sites ordered by their latency from a home, then by name.
 func (r *round) sitesByLatency(h Home) []int {
-	ranks := make([]int, 0, len(r.sites))
+	sites := make([]int, 0, len(r.sites))
 	for _, near := range []func(s Site) bool{
 		func(s Site) bool { return s.FailureDomain == h.FailureDomain },
 		func(s Site) bool { return s.FailureDomain != h.FailureDomain && s.Region == h.Region },
@@ -182,11 +187,11 @@
 	} {
 		for i := range r.sites {
 			if near(r.sites[i]) {
-				ranks = append(ranks, i)
+				sites = append(sites, i)
 			}
 		}
 	}
-	return ranks
+	return sites
 }
 
 func (r *round) latency(h Home, site int) time.Duration {
@@ -199,10 +204,10 @@
 		return Output{Plan: r.in.Current, Reason: "no eligible site takes work"}
 	}
 	for i, h := range r.in.Homes {
-		ranks := r.sitesByLatency(h)
+		byLatency := r.sitesByLatency(h)
 		r.desired[i] = make([]int, lovageyard.Buckets)
 		for b := range r.desired[i] {
-			r.desired[i][b] = r.initialSite(h, ranks, b)
+			r.desired[i][b] = r.initialSite(h, byLatency, b)
 		}
 		r.previous[i] = r.desired[i]
 	}
@@ -211,12 +216,12 @@
 
 // initialSite returns the nearest eligible site with capacity left, or the nearest eligible one if
 // there is none. Buckets are spread over sites of equal latency.
-func (r *round) initialSite(h Home, ranks []int, bucket int) int {
+func (r *round) initialSite(h Home, byLatency []int, bucket int) int {
 	demand := h.Buckets[bucket]
-	ties := r.nearest(h, ranks)
+	ties := r.nearest(h, byLatency)
 	site := ties[bucket%len(ties)]
 	if r.available[site] < demand {
-		if other := r.nearestAvailable(ranks, demand); other != unplaced {
+		if other := r.nearestAvailable(byLatency, demand); other != unplaced {
 			site = other
 		}
 	}
@@ -225,9 +230,9 @@
 }
 
 // nearest returns the eligible sites with the lowest latency.
-func (r *round) nearest(h Home, ranks []int) []int {
+func (r *round) nearest(h Home, byLatency []int) []int {
 	var ties []int
-	for _, site := range ranks {
+	for _, site := range byLatency {
 		if !r.eligible[site] {
 			continue
 		}
@@ -239,8 +244,9 @@
 	return ties
 }
 
-func (r *round) nearestAvailable(ranks []int, demand float64) int {
-	for _, site := range ranks {
+// nearestAvailable returns the nearest site that can gain a bucket with the given demand, or unplaced.
+func (r *round) nearestAvailable(byLatency []int, demand float64) int {
+	for _, site := range byLatency {
 		if r.canGain(site, demand) {
 			return site
 		}
@@ -248,16 +254,16 @@
 	return unplaced
 }
 
-// computeDesired selects the desired site of each bucket: first moves that are needed, then moves to
-// nearer sites.
+// computeDesired selects the desired site of each bucket. Buckets that have to leave their site come
+// first, so that moves to nearer sites use only the capacity that is left.
 func (r *round) computeDesired() {
-	ranks := make([][]int, len(r.in.Homes))
+	byLatency := make([][]int, len(r.in.Homes))
 	for i, h := range r.in.Homes {
 		r.desired[i] = slices.Clone(r.current[i])
-		ranks[i] = r.sitesByLatency(h)
+		byLatency[i] = r.sitesByLatency(h)
 	}
-	r.eachBucket(func(i, b int) { r.moveOff(i, b, ranks[i]) })
-	r.eachBucket(func(i, b int) { r.moveNearer(i, b, ranks[i]) })
+	r.eachBucket(func(i, b int) { r.moveOff(i, b, byLatency[i]) })
+	r.eachBucket(func(i, b int) { r.moveNearer(i, b, byLatency[i]) })
 }
 
 func (r *round) eachBucket(visit func(home, bucket int)) {
@@ -288,12 +294,12 @@
 
 // moveOff moves a bucket off a site that is not eligible or is over its limit. A bucket that is
 // already moving is redirected only if its target is not eligible.
-func (r *round) moveOff(home, bucket int, ranks []int) {
+func (r *round) moveOff(home, bucket int, byLatency []int) {
 	from := r.desired[home][bucket]
 	if from != unplaced && r.eligible[from] && (r.available[from] >= 0 || r.isMoving(home, bucket)) {
 		return
 	}
-	to := r.nearestAvailable(ranks, r.in.Homes[home].Buckets[bucket])
+	to := r.nearestAvailable(byLatency, r.in.Homes[home].Buckets[bucket])
 	if to == unplaced {
 		r.unplaceable++
 		return
@@ -302,13 +308,13 @@
 }
 
 // moveNearer moves a bucket to a nearer site that has capacity left.
-func (r *round) moveNearer(home, bucket int, ranks []int) {
+func (r *round) moveNearer(home, bucket int, byLatency []int) {
 	from := r.desired[home][bucket]
 	if from == unplaced || !r.eligible[from] || r.isMoving(home, bucket) {
 		return
 	}
 	h := r.in.Homes[home]
-	to := r.nearestAvailable(ranks, h.Buckets[bucket])
+	to := r.nearestAvailable(byLatency, h.Buckets[bucket])
 	if to == unplaced || r.latency(h, from)-r.latency(h, to) < minLatencyGain {
 		return
 	}
--- a/placement/round_test.go
+++ b/placement/round_test.go
@@ -50,7 +50,7 @@
 }
 
 // shares counts the buckets of a home by site.
-func shares(p lovageyard.ClassPlan, home string) map[string]int {
+func bucketsBySite(p lovageyard.ClassPlan, home string) map[string]int {
 	counts := make(map[string]int)
 	for b := range lovageyard.Buckets {
 		counts[p.SiteOf(home, b)]++
@@ -59,7 +59,7 @@
 }
 
 // loads returns the total demand that a plan assigns to each site.
-func loads(in Input, p lovageyard.ClassPlan) map[string]float64 {
+func demandBySite(in Input, p lovageyard.ClassPlan) map[string]float64 {
 	sums := make(map[string]float64)
 	for _, h := range in.Homes {
 		for b, demand := range h.Buckets {
@@ -75,7 +75,7 @@
 	c.Assert(out.Changed, qt.IsTrue)
 	c.Assert(out.Plan.Step, qt.Equals, int64(1))
 	for _, home := range []string{"a1", "a2", "b1"} {
-		c.Assert(shares(out.Plan, home), qt.DeepEquals, map[string]int{home: lovageyard.Buckets})
+		c.Assert(bucketsBySite(out.Plan, home), qt.DeepEquals, map[string]int{home: lovageyard.Buckets})
 	}
 }
 
@@ -128,12 +128,12 @@
 			out := Round(in)
 			c.Assert(out.Reason, qt.Matches, test.reason)
 			if test.goal != "" {
-				c.Assert(shares(out.Plan, "a1"), qt.DeepEquals, map[string]int{test.goal: lovageyard.Buckets})
+				c.Assert(bucketsBySite(out.Plan, "a1"), qt.DeepEquals, map[string]int{test.goal: lovageyard.Buckets})
 			}
 			if test.empty != "" {
-				c.Assert(loads(in, out.Plan)[test.empty], qt.Equals, 0.0)
+				c.Assert(demandBySite(in, out.Plan)[test.empty], qt.Equals, 0.0)
 			}
-			for site, load := range loads(in, out.Plan) {
+			for site, load := range demandBySite(in, out.Plan) {
 				if site != "a1" {
 					c.Assert(load <= capacityOf(in, site)*(1-in.Headroom)+1e-6, qt.IsTrue, qt.Commentf("%s carries %v", site, load))
 				}
@@ -178,9 +178,9 @@
 	in.Current = Round(in).Plan
 	c.Assert(in.Current.Move.State, qt.Equals, lovageyard.MoveShifting)
 	in.AppliedStep = in.Current.Step
-	over := Round(in)
-	c.Assert(over.Plan.Move, qt.IsNil)
-	c.Assert(over.Plan.OriginOf("a1", 0), qt.Equals, "")
+	finished := Round(in)
+	c.Assert(finished.Plan.Move, qt.IsNil)
+	c.Assert(finished.Plan.OriginOf("a1", 0), qt.Equals, "")
 }
 
 func TestMovingWorkCountsAtBothSites(t *testing.T) {
@@ -193,7 +193,7 @@
 	// The buckets of home a1 have not moved yet, so its site has no capacity left for those of b1.
 	in.Orders = []lovageyard.SiteOrder{{Site: "b1", Draining: true}}
 	out := Round(in)
-	c.Assert(loads(in, out.Plan)["a1"] <= 100+1e-6, qt.IsTrue, qt.Commentf("%v", loads(in, out.Plan)))
+	c.Assert(demandBySite(in, out.Plan)["a1"] <= 100+1e-6, qt.IsTrue, qt.Commentf("%v", demandBySite(in, out.Plan)))
 }
 
 func TestWorkReturnsToARestoredSite(t *testing.T) {
@@ -207,7 +207,7 @@
 	in.Orders = nil
 	in.Latencies.SameRegion = minLatencyGain
 	out := Round(in)
-	c.Assert(shares(out.Plan, "a1"), qt.DeepEquals, map[string]int{"a1": lovageyard.Buckets})
+	c.Assert(bucketsBySite(out.Plan, "a1"), qt.DeepEquals, map[string]int{"a1": lovageyard.Buckets})
 }
 
 // BenchmarkRound measures a round at the current size of the system and at the target size.
