--- a/move/cell.go
+++ b/move/cell.go
@@ -2,8 +2,7 @@
 
 import "lovageyard.example/lovageyard"
 
-// completeFraction is the moved fraction from which on a cell counts as moved in full; it allows for
-// rounding errors.
+// completeFraction is the fraction from which a cell counts as moved in full, despite rounding errors.
 const completeFraction = 1 - 1e-9
 
 // Cell is the placement of one bucket of a home failure domain.
@@ -33,7 +32,8 @@
 	return c.Site, false
 }
 
-// completeStep ends the cell's step, in which the given fraction of the rest was admitted.
+// completeStep ends the cell's step, in which the given fraction of the requests that had not moved
+// was admitted.
 func (c *Cell) completeStep(ratio float64) {
 	c.Moving = false
 	c.Shifted += (1 - c.Shifted) * ratio
--- a/move/gate.go
+++ b/move/gate.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// burstFactor times the square root of the moves that are allowed in an interval is the burst of a
-// Limiter: enough for random variation of arrivals, and small compared with the cap.
+// burstFactor times the square root of the number of moves that are allowed in an interval is the burst
+// of a Limiter. That covers the random variation of arrivals and is small compared with the cap.
 const burstFactor = 0.5
 
 // minMovesPerInterval is the number of allowed moves in an interval below which the limiter halves its
-// rate, as a burst of one request would otherwise use up the cap.
+// rate, because the full rate and a burst of one request together would exceed the cap.
 const minMovesPerInterval = 2
 
 // Limiter admits requests to the sites that their buckets are moving to. It is a token bucket that is
@@ -37,11 +37,11 @@
 }
 
 // Ratio returns the fraction of the requests that were admitted, or 1 if there were none.
-func (z Counts) Ratio() float64 {
-	if z.Requested == 0 {
+func (c Counts) Ratio() float64 {
+	if c.Requested == 0 {
 		return 1
 	}
-	return float64(z.Admitted) / float64(z.Requested)
+	return float64(c.Admitted) / float64(c.Requested)
 }
 
 // NewLimiter returns a limiter for a cap, 0 to 1, and the expected number of requests in an interval.
@@ -128,8 +128,8 @@
 func (l *Limiter) ResetCounts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	z := Counts{Requested: l.requested, Admitted: l.admitted}
+	counts := Counts{Requested: l.requested, Admitted: l.admitted}
 	l.requested = 0
 	l.admitted = 0
-	return z
+	return counts
 }
--- a/move/gate_test.go
+++ b/move/gate_test.go
@@ -40,7 +40,7 @@
 		name     string
 		limit    float64
 		interval int
-		least    float64
+		minShare float64
 	}{
 		{"large class", 0.1, 10000, 0.95},
 		{"small class", 0.25, 100, 0.7},
@@ -56,7 +56,7 @@
 					moved++
 				}
 			}
-			c.Assert(float64(moved) >= test.least*test.limit*float64(test.interval), qt.IsTrue, qt.Commentf("moved %d", moved))
+			c.Assert(float64(moved) >= test.minShare*test.limit*float64(test.interval), qt.IsTrue, qt.Commentf("moved %d", moved))
 			c.Assert(l.ResetCounts().Requested, qt.Equals, uint64(test.interval))
 		})
 	}
--- a/move/stepper.go
+++ b/move/stepper.go
@@ -7,12 +7,12 @@
 	"lovageyard.example/lovageyard"
 )
 
-// overcommitFactor is the ratio of the demand of the cells that a step starts to move to the demand
-// that the cap admits. With more requests than tokens, the limiter uses the whole cap.
+// overcommitFactor times the demand that the cap admits is the demand of the cells that a step starts
+// to move. As more requests arrive than the limiter has tokens for, it uses the whole cap.
 const overcommitFactor = 2
 
-// safetyDeviations is the distance from the cap, in standard deviations of the number of arrivals,
-// that the last step has to keep.
+// safetyDeviations is how far the demand of the last step, which bypasses the limiter, has to stay
+// below the cap, in standard deviations of the number of arrivals.
 const safetyDeviations = 3
 
 // Demand is the recent demand for a class at one entry instance, in requests per interval.
@@ -29,7 +29,7 @@
 	Buckets       []float64
 }
 
-// Bucket returns the requests of one bucket.
+// Bucket returns the demand of one bucket, or 0 if its home is unknown.
 func (d *Demand) Bucket(home string, bucket int) float64 {
 	for i := range d.Homes {
 		if d.Homes[i].FailureDomain == home {
@@ -49,7 +49,7 @@
 	initialized bool
 	moving      bool
 	steppedAt   time.Time
-	// generation is incremented with each change of applied.
+	// generation is incremented when applied changes.
 	generation uint64
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// Limiter returns the limiter to which the stepper's cells have to be routed.
+// Limiter returns the limiter that has to be passed to Route for the stepper's cells.
 func (s *Stepper) Limiter() *Limiter {
 	return s.limiter
 }
@@ -81,8 +81,8 @@
 	return s.applied.Clone()
 }
 
-// Initialize sets the first placement, as a neighbour applies it or from a plan; later calls do
-// nothing. A step that is under way in it counts as started now.
+// Initialize sets the first placement, which is that of a neighbour or comes from a plan; later calls
+// do nothing. If a step is under way in the placement, it counts as started now.
 func (s *Stepper) Initialize(a Placement, now time.Time) {
 	if s.initialized {
 		return
@@ -113,11 +113,11 @@
 	if !s.initialized {
 		return 0, 1
 	}
-	open := s.remainingShare(d)
-	if open == 0 && !s.moving {
+	share := s.remainingShare(d)
+	if share == 0 && !s.moving {
 		return s.plan.Step, 0
 	}
-	return s.applied.Step, open
+	return s.applied.Step, share
 }
 
 // Tick completes a step whose interval is over and starts the next one; it reports whether anything
@@ -187,7 +187,8 @@
 	s.moving = false
 }
 
-// startStep starts the next step, unless the move is suspended.
+// startStep starts the next step unless no cell has to move or the move is suspended. It reports
+// whether a step was started.
 func (s *Stepper) startStep(now time.Time, d Demand) bool {
 	cells := s.pendingCells(d)
 	if len(cells) == 0 {
@@ -212,7 +213,7 @@
 	return true
 }
 
-// pendingCell is a cell that has to move, with the demand that has not moved yet.
+// pendingCell is a cell that has to move, with the part of its demand that has not moved yet.
 type pendingCell struct {
 	*Cell
 	demand float64
@@ -242,15 +243,15 @@
 	s.limiter.Debit(demand)
 }
 
-// startCells marks cells as moving, in order, until they have the wanted demand together.
+// startCells marks cells as moving, in order and at least one, until their total demand reaches wanted.
 func startCells(cells []pendingCell, wanted float64) {
-	opened := 0.0
+	started := 0.0
 	for i, c := range cells {
-		if i > 0 && opened >= wanted {
+		if i > 0 && started >= wanted {
 			return
 		}
 		c.Moving = true
-		opened += c.demand
+		started += c.demand
 	}
 }
 
@@ -280,27 +281,27 @@
 // remainingShare returns the share of demand whose cells have not reached the plan, or the share of
 // cells if there is no demand.
 func (s *Stepper) remainingShare(d Demand) float64 {
-	buckets := 0
-	count := 0
+	remainingCells := 0
+	totalCells := 0
 	demand := 0.0
 	for i := range s.applied.Homes {
 		h := &s.applied.Homes[i]
 		for b := range h.Cells {
-			count++
+			totalCells++
 			c := &h.Cells[b]
 			site := s.plan.SiteOf(h.FailureDomain, b)
 			if c.Target == c.Site && (site == "" || site == c.Site) {
 				continue
 			}
-			buckets++
+			remainingCells++
 			demand += d.Bucket(h.FailureDomain, b) * (1 - c.Shifted)
 		}
 	}
-	if buckets == 0 {
+	if remainingCells == 0 {
 		return 0
 	}
 	if d.Total > 0 && demand > 0 {
 		return demand / d.Total
 	}
-	return float64(buckets) / float64(count)
+	return float64(remainingCells) / float64(totalCells)
 }
--- a/move/stepper_test.go
+++ b/move/stepper_test.go
@@ -131,11 +131,11 @@
 
 func TestStepperCompletesInTime(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		limit    float64
-		requests int
-		skew     float64
-		most     float64
+		name      string
+		limit     float64
+		requests  int
+		skew      float64
+		maxFactor float64
 	}{
 		{"even demand", 0.1, 5000, 0, 1.2},
 		{"skewed demand", 0.1, 5000, 1.2, 1.2},
@@ -148,16 +148,16 @@
 			s.stepper.SetPlan(planOf(1, []string{"a", "b"}, func(int) int { return 0 }))
 			s.stepper.Initialize(FromPlan(s.stepper.plan), s.now)
 			s.stepper.SetPlan(planOf(2, []string{"a", "b"}, func(int) int { return 1 }))
-			least := 1 / test.limit
-			for range int(math.Ceil(test.most * least)) {
+			minIntervals := 1 / test.limit
+			for range int(math.Ceil(test.maxFactor * minIntervals)) {
 				s.runInterval(test.requests)
 			}
 			c.Assert(s.countAt("a", len(s.log)-test.requests/2, len(s.log)), qt.Equals, 0.0)
 			s.runInterval(test.requests)
 			s.stepper.Tick(s.now.Add(testInterval), s.demand, true)
-			step, left := s.stepper.Progress(s.demand)
+			step, remaining := s.stepper.Progress(s.demand)
 			c.Assert(step, qt.Equals, int64(2))
-			c.Assert(left, qt.Equals, 0.0)
+			c.Assert(remaining, qt.Equals, 0.0)
 		})
 	}
 }
