--- a/control/control_test.go
+++ b/control/control_test.go
@@ -74,7 +74,7 @@
 }
 
 // instancePorts is an instance's connection to the platform and its peers. It fails while the
-// instance is partitioned.
+// instance is partitioned; calls of the platform also fail while that is down.
 type instancePorts struct {
 	*memory.Store
 	cluster *testCluster
@@ -167,7 +167,7 @@
 	p := instancePorts{Store: cl.store, cluster: cl, name: name}
 	c := New(Settings{
 		Self: self, Table: p, Objects: p, Instances: p, Backend: p, Peers: p, Timer: cl.clock, Recorder: p,
-		Logger: logger, Metrics: metrics.NewRegistry(), KeepFor: time.Second, Headroom: 0.2,
+		Logger: logger, Metrics: metrics.NewRegistry(), LookUpTTL: time.Second, Headroom: 0.2,
 		SeedPeers:     []string{"a1-1", "a1-2"},
 		Pool:          server.Settings{Mode: server.Shared, QueuePerSlot: 1},
 		Latencies:     placement.Latencies{SameRegion: time.Millisecond, OtherRegion: 10 * time.Millisecond},
@@ -195,11 +195,11 @@
 	fault()
 }
 
-func (cl *testCluster) putClass(name string, limit float64) {
+func (cl *testCluster) putClass(name string, moveCap float64) {
 	value, err := json.Marshal(lovageyard.Class{
 		Name: name, Service: "desk", Match: []lovageyard.Match{{PathPrefix: "/"}},
 		Deadline: lovageyard.Duration(time.Second),
-		Target:   lovageyard.Target{Cap: limit, Interval: lovageyard.Duration(time.Second)},
+		Target:   lovageyard.Target{Cap: moveCap, Interval: lovageyard.Duration(time.Second)},
 	})
 	cl.c.Assert(err, qt.IsNil)
 	cl.write(lovageyard.Write{Table: lovageyard.TableClasses, Key: name, Value: value})
@@ -368,7 +368,7 @@
 	cl.c.Assert(cl.status("a1-3").Pools, qt.HasLen, 3, qt.Commentf("the listing is also received from peers"))
 }
 
-func TestCutOffInstanceCatchesUp(t *testing.T) {
+func TestPartitionedInstanceCatchesUp(t *testing.T) {
 	cl := newTestCluster(t)
 	cl.startAll()
 	cl.putClass("lookups", 0.5)
@@ -384,7 +384,7 @@
 	cl.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
 }
 
-func TestRelayKilled(t *testing.T) {
+func TestClassIsPlacedAfterRelayIsKilled(t *testing.T) {
 	cl := newTestCluster(t)
 	cl.startAll()
 	cl.putClass("lookups", 0.5)
@@ -397,17 +397,17 @@
 	}
 	cl.kill(killed)
 	cl.putClass("charges", 0.5)
-	var rest []string
+	var remaining []string
 	for _, name := range allInstances {
 		if name != killed {
-			rest = append(rest, name)
+			remaining = append(remaining, name)
 		}
 	}
-	took := cl.waitFor("placement by the rest", func() bool { return cl.placed("charges", rest...) })
+	took := cl.waitFor("placement by the remaining instances", func() bool { return cl.placed("charges", remaining...) })
 	cl.c.Assert(took <= 16*time.Second, qt.IsTrue, qt.Commentf("took %s", took))
 }
 
-func TestLeave(t *testing.T) {
+func TestLeavingInstanceIsRemovedFromLookUps(t *testing.T) {
 	cl := newTestCluster(t)
 	cl.startAll()
 	cl.putClass("lookups", 0.5)
@@ -464,9 +464,9 @@
 	})
 }
 
-// TestFailoverUsesTheCapAtRest guards against a limiter that is only updated during moves: when a
+// TestFailoverIsCappedWithoutMove guards against a limiter that is only updated during moves: when a
 // site fails without a move in progress, the cap must apply to the current demand.
-func TestFailoverUsesTheCapAtRest(t *testing.T) {
+func TestFailoverIsCappedWithoutMove(t *testing.T) {
 	cl := newTestCluster(t)
 	cl.startAll()
 	cl.putClass("lookups", 0.5)
@@ -476,17 +476,17 @@
 	const rounds, perRound = 150, 20
 	forced := 0
 	for n := range rounds {
-		work := c.Snapshot().ClassRoute("lookups")
+		classRoute := c.Snapshot().ClassRoute("lookups")
 		for range perRound {
-			work.CountRequest(place, home)
-			if n >= rounds/2 && work.Limiter.AllowFailover() {
+			classRoute.CountRequest(place, home)
+			if n >= rounds/2 && classRoute.Limiter.AllowFailover() {
 				forced++
 			}
 		}
 		cl.clock.Advance(testStep)
 		cl.settle()
 	}
-	asked := rounds / 2 * perRound
-	cl.c.Assert(forced <= asked/2+1, qt.IsTrue, qt.Commentf("%d of %d", forced, asked))
-	cl.c.Assert(forced >= asked*2/5, qt.IsTrue, qt.Commentf("%d of %d", forced, asked))
+	total := rounds / 2 * perRound
+	cl.c.Assert(forced <= total/2+1, qt.IsTrue, qt.Commentf("%d of %d", forced, total))
+	cl.c.Assert(forced >= total*2/5, qt.IsTrue, qt.Commentf("%d of %d", forced, total))
 }
--- a/control/pools.go
+++ b/control/pools.go
@@ -35,7 +35,7 @@
 }
 
 // setListing applies the platform's list. A server that is no longer listed gets no new
-// requests. An empty list of servers is assumed to be a fault and changes nothing.
+// requests. An empty list of servers is assumed to be a fault and leaves the pools unchanged.
 func (c *Control) setListing(l lovageyard.Listing, readAt time.Time) {
 	now := c.settings.Timer.Now()
 	c.members.ApplyList(l.EntryInstances, now)
@@ -96,18 +96,19 @@
 	}
 }
 
-// setSharers sets, for each pool, the number of entry instances that share its servers.
-func (c *Control) setSharers() {
+// setPoolInstances sets, for each pool, the number of entry instances that share its servers:
+// those of the pool's failure domain, and this one.
+func (c *Control) setPoolInstances() {
 	inDomain := make(map[string]int)
 	for _, i := range c.members.Live() {
 		inDomain[i.FailureDomain]++
 	}
 	for _, p := range c.pools {
-		sharers := inDomain[p.failureDomain]
+		instances := inDomain[p.failureDomain]
 		if p.failureDomain != c.self.FailureDomain {
-			sharers++
+			instances++
 		}
-		p.SetInstances(sharers)
+		p.SetInstances(instances)
 	}
 }
 
@@ -126,6 +127,7 @@
 	})
 }
 
+// serverMark sets the state of a server that was reported to be leaving, or to be live again.
 type serverMark struct {
 	poolServer
 	state lovageyard.InstanceState
@@ -151,13 +153,13 @@
 // probe probes the suspect and the leaving servers. Those of other failure domains are farther
 // away and are probed less often.
 func (c *Control) probe(now time.Time) {
-	elsewhere := c.isDue("probe elsewhere", remoteProbePeriod, now)
+	remoteDue := c.isDue("probe elsewhere", remoteProbePeriod, now)
 	for k, p := range c.pools {
-		if p.failureDomain != c.self.FailureDomain && !elsewhere {
+		if p.failureDomain != c.self.FailureDomain && !remoteDue {
 			continue
 		}
-		census := p.Stats(now)
-		for _, b := range slices.Concat(census.Suspects, census.Leaving) {
+		stats := p.Stats(now)
+		for _, b := range slices.Concat(stats.Suspects, stats.Leaving) {
 			if b.State == lovageyard.StateLive {
 				c.probeServer(k, b)
 			}
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -32,47 +32,50 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// Limits of an edge instance.
+// Limits and periods of an edge instance.
 const (
-	// memoryShare is the part of the memory limit that the heap may grow to.
-	memoryShare = 0.7
-	bytesPerMB  = 1 << 20
-	// edgeHeaderTimeout bounds how long a caller may take over a request's headers.
+	// heapShare is the share of the process's memory limit that is set as Go's memory limit.
+	heapShare   = 0.7
+	bytesPerMiB = 1 << 20
+	// edgeHeaderTimeout limits the time to read a request's headers.
 	edgeHeaderTimeout = 10 * time.Second
-	// edgeIdleTimeout is longer than callers keep idle connections in use.
+	// edgeIdleTimeout is longer than callers keep idle connections for reuse.
 	edgeIdleTimeout = 90 * time.Second
-	// edgeMaxHeaderBytes is what callers' headers may take; net/http adds 4 KiB.
+	// edgeMaxHeaderBytes limits the size of a request's headers; net/http adds 4 KiB.
 	edgeMaxHeaderBytes = 16 << 10
-	// expireEvery is the period at which idle connections are looked through.
-	expireEvery = time.Second
-	// Parts of the time to leave: requests are taken until refuseAfter of it has passed,
-	// and connections are closed by force after closeAfter of it.
-	refuseAfter = 0.5
-	closeAfter  = 0.93
+	// expirePeriod is the period of the checks for expired idle connections, changed settings
+	// and gauges.
+	expirePeriod = time.Second
+	// Shares of the time allowed for leaving: new requests are refused after refuseAfterShare of
+	// it, and the remaining connections are closed after closeAfterShare of it.
+	refuseAfterShare = 0.5
+	closeAfterShare  = 0.93
 )
 
-// edge is a running entry instance on a platform with a feed.
+// edge is a running entry instance in edge mode, on a platform with a change feed.
 type edge struct {
-	options  edgeOptions
-	logger   *logrus.Logger
-	sink     *decision.Sink
-	timer    lovageyard.Timer
-	meters   *meter.Set
-	store    *platform.Store
-	peers    *peer.Client
-	link     *link.Transport
-	dispatch *dispatch.Table
-	watch    *quarantine.Monitor
-	control  *fleet.Control
-	limiter  *quota.Limiter
-	callers  *http.Server
-	others   []*http.Server
-	// version is the configuration's version at the last look, in force since versionSince.
+	options      edgeOptions
+	logger       *logrus.Logger
+	sink         *decision.Sink
+	timer        lovageyard.Timer
+	meters       *meter.Set
+	store        *platform.Store
+	peers        *peer.Client
+	link         *link.Transport
+	dispatch     *dispatch.Table
+	quarantine   *quarantine.Monitor
+	control      *fleet.Control
+	limiter      *quota.Limiter
+	callerServer *http.Server
+	otherServers []*http.Server
+	// version is the configuration's version at the last update of the gauges, and versionSince
+	// the time when it was first seen.
 	version      uint64
 	versionSince time.Time
 }
 
-// runEdge serves until SIGTERM; SIGHUP reads the settings anew.
+// runEdge serves until SIGTERM or SIGINT. SIGHUP, or a change of the settings file, reloads the
+// settings.
 func runEdge(o edgeOptions) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
@@ -80,8 +83,8 @@
 	if err != nil {
 		return err
 	}
-	watch := e.timer.Subscribe(expireEvery)
-	defer watch.Close()
+	ticker := e.timer.Subscribe(expirePeriod)
+	defer ticker.Close()
 	file := newSettingsFile(os.Getenv(platform.SettingsVariable))
 	for {
 		select {
@@ -91,9 +94,9 @@
 				return nil
 			}
 			e.reload("signal")
-		case now := <-watch.C():
+		case now := <-ticker.C():
 			e.link.CloseExpired(now)
-			e.measure(now)
+			e.updateGauges(now)
 			if file.changed() {
 				e.reload("file changed")
 			}
@@ -107,7 +110,7 @@
 		return nil, err
 	}
 	if o.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(o.MemoryMB) * bytesPerMB))
+		debug.SetMemoryLimit(int64(heapShare * float64(o.MemoryMB) * bytesPerMiB))
 	}
 	sockets, err := o.listen()
 	if err != nil {
@@ -125,8 +128,8 @@
 		LinkMbps:      o.LinkMbps,
 	}
 	sink := decision.NewSink(os.Stdout)
-	// Hooks run in this order: the name is added before the line is made.
-	logger.AddHook(nameHook{instance: o.Instance})
+	// Hooks run in this order: the instance's name must be added before the sink formats the line.
+	logger.AddHook(instanceHook{instance: o.Instance})
 	sink.Attach(logger)
 	e := &edge{options: o, logger: logger, sink: sink, timer: clock, meters: meter.NewSet()}
 	e.assemble(self)
@@ -152,13 +155,13 @@
 		Self:          o.Instance,
 		FailureDomain: o.FailureDomain,
 		Region:        o.Region,
-		DemandShare:   o.demand(),
+		DemandShare:   o.localDemandShare(),
 		Bounds:        o.bounds(),
 		Seed:          uint64(self.Incarnation),
 	})
-	notices := &entry.BackpressureObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
-	e.link = link.New(platform.Headers{}, e.timer, notices)
-	e.watch = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
+	observer := &entry.BackpressureObserver{Dispatch: e.dispatch, Timer: e.timer, Logger: e.logger}
+	e.link = link.New(platform.Headers{}, e.timer, observer)
+	e.quarantine = quarantine.NewMonitor(quarantine.Settings{Prober: e.link, Timer: e.timer, Logger: e.logger, Metrics: e.meters})
 	e.control = fleet.New(fleet.Settings{
 		Self:       self,
 		Feed:       e.store,
@@ -166,7 +169,7 @@
 		Decoder:    platform.Decoder{Regions: o.Regions},
 		Peers:      e.peers,
 		Observer:   e.dispatch,
-		Quarantine: e.watch,
+		Quarantine: e.quarantine,
 		Timer:      e.timer,
 		Logger:     e.logger,
 		Metrics:    e.meters,
@@ -186,7 +189,7 @@
 	})
 }
 
-// edgeSockets are the sockets of an edge instance; metrics is nil if it serves none.
+// edgeSockets holds the listening sockets of an edge instance; metrics is nil if not configured.
 type edgeSockets struct {
 	callers net.Listener
 	ready   net.Listener
@@ -195,7 +198,7 @@
 	metrics net.Listener
 }
 
-// listen opens all sockets; the error names the setting of the one that failed.
+// listen opens all sockets. The error names the setting of the address that failed.
 func (o *edgeOptions) listen() (*edgeSockets, error) {
 	s := &edgeSockets{}
 	var opened []net.Listener
@@ -226,22 +229,22 @@
 	return s, nil
 }
 
-// serveAll begins to serve on all sockets.
+// serveAll starts to serve on all sockets.
 func (e *edge) serveAll(s *edgeSockets) {
 	o := e.options
-	e.callers = edgeServer(entry.NewHandler(entry.Settings{
+	e.callerServer = edgeServer(entry.NewHandler(entry.Settings{
 		Source:     e.control,
 		Codec:      platform.Headers{},
 		Sender:     e.link,
 		Dispatch:   e.dispatch,
-		Quarantine: e.watch,
+		Quarantine: e.quarantine,
 		Quota:      e.limiter,
 		Timer:      e.timer,
 		Logger:     e.logger,
 		Metrics:    e.meters,
-		Limits:     o.knowledgeLimits(),
+		Limits:     o.ageLimits(),
 	}))
-	e.serve(s.callers, e.callers)
+	e.serve(s.callers, e.callerServer)
 	e.serveOther(s.ready, &entry.Readiness{Source: e.control})
 	e.serveOther(s.lookUps, &entry.Directory{Source: e.control, KeepFor: min(o.KeepFor, o.KeepForMax)})
 	e.serveOther(s.peers, e.peerServices())
@@ -250,7 +253,7 @@
 	}
 }
 
-// peerServices returns what this instance offers to others.
+// peerServices returns the handler of the RPC services for peers.
 func (e *edge) peerServices() http.Handler {
 	services := http.NewServeMux()
 	for _, s := range []wire.TwirpServer{wire.NewFleetServer(e.control), wire.NewQuotaServer(e.limiter)} {
@@ -261,7 +264,7 @@
 
 func (e *edge) serveOther(l net.Listener, h http.Handler) {
 	server := edgeServer(h)
-	e.others = append(e.others, server)
+	e.otherServers = append(e.otherServers, server)
 	e.serve(l, server)
 }
 
@@ -283,36 +286,36 @@
 	}()
 }
 
-// measure updates the gauges.
-func (e *edge) measure(now time.Time) {
+// updateGauges updates all metrics that are gauges.
+func (e *edge) updateGauges(now time.Time) {
 	view := e.control.View()
 	if version := view.Version(); version != e.version {
 		e.version = version
 		e.versionSince = now
 	}
-	census := e.dispatch.Stats(now)
+	stats := e.dispatch.Stats(now)
 	dropped := e.sink.Dropped()
 	e.meters.Update(meter.ConnectionsOpened, e.link.Opened())
-	e.meters.Update(meter.ServersKnown, int64(census.Servers))
-	e.meters.Update(meter.ServersSuspect, int64(census.Suspects))
-	e.meters.Update(meter.ServersLimited, int64(census.Limited))
-	e.meters.Update(meter.ServersLeaving, int64(census.Leaving))
-	e.meters.Update(meter.ServersBackingOff, int64(census.BackingOff))
-	e.meters.Update(meter.InFlight, int64(census.InFlight))
+	e.meters.Update(meter.ServersKnown, int64(stats.Servers))
+	e.meters.Update(meter.ServersSuspect, int64(stats.Suspects))
+	e.meters.Update(meter.ServersLimited, int64(stats.Limited))
+	e.meters.Update(meter.ServersLeaving, int64(stats.Leaving))
+	e.meters.Update(meter.ServersBackingOff, int64(stats.BackingOff))
+	e.meters.Update(meter.InFlight, int64(stats.InFlight))
 	e.meters.Update(meter.ConfigurationVersion, int64(view.Version()))
 	e.meters.Update(meter.ConfigurationAge, now.Sub(e.versionSince).Milliseconds())
-	e.meters.Update(meter.KnowledgeAge, knowledgeAge(e.control.ConfirmationAge()))
+	e.meters.Update(meter.ConfirmationAge, ageMillis(e.control.ConfirmationAge()))
 	e.meters.Update(meter.AccountsNearLimit, int64(e.limiter.MeteredCount()))
 	e.meters.Update(meter.InstancesLive, int64(len(view.Live)))
 	e.meters.Update(meter.LogDroppedRoutine, dropped.Routine)
 	e.meters.Update(meter.LogDroppedOther, dropped.Other)
-	for service, share := range census.RemoteShares {
+	for service, share := range stats.RemoteShares {
 		e.meters.Update(meter.ShareElsewhere, int64(1000*share), service)
 	}
 }
 
-// knowledgeAge returns an age in milliseconds, or -1 if it is not known.
-func knowledgeAge(age time.Duration) int64 {
+// ageMillis returns an age in milliseconds, or -1 if it is freshness.Unknown.
+func ageMillis(age time.Duration) int64 {
 	if age == freshness.Unknown {
 		return -1
 	}
@@ -324,26 +327,26 @@
 	e.meters.Write(w)
 }
 
-// leave takes the instance out of look-ups, serves on while callers may still hold an
-// answer that names it, as far as it can answer before it ends, then refuses all new requests,
-// lets those in flight end, and closes.
+// leave shuts down gracefully within the LeaveWithin setting. It leaves look-ups, serves while
+// callers may still have a cached look-up response with this instance, then refuses new
+// requests, waits for those in flight, and closes everything.
 func (e *edge) leave() {
 	e.logger.Info("leaving")
-	began := e.timer.Now()
-	endsAt := began.Add(time.Duration(closeAfter * float64(e.options.LeaveWithin)))
-	e.control.Leave(endsAt)
-	e.wait(time.Duration(refuseAfter * float64(e.options.LeaveWithin)))
+	startedAt := e.timer.Now()
+	closeAt := startedAt.Add(time.Duration(closeAfterShare * float64(e.options.LeaveWithin)))
+	e.control.Leave(closeAt)
+	e.wait(time.Duration(refuseAfterShare * float64(e.options.LeaveWithin)))
 	e.control.RefuseRequests()
-	bound, cancel := context.WithTimeout(context.Background(), endsAt.Sub(e.timer.Now()))
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), closeAt.Sub(e.timer.Now()))
 	defer cancel()
-	if err := e.callers.Shutdown(bound); err != nil {
-		e.logger.WithError(err).Warn("requests were still in flight")
-		e.callers.Close()
+	if err := e.callerServer.Shutdown(shutdownCtx); err != nil {
+		e.logger.WithError(err).Warn("closing connections with requests still in flight")
+		e.callerServer.Close()
 	}
 	e.limiter.Close()
 	e.control.Close()
-	e.watch.Close()
-	for _, s := range e.others {
+	e.quarantine.Close()
+	for _, s := range e.otherServers {
 		s.Close()
 	}
 	e.link.Close()
