--- a/configuration/state_test.go
+++ b/configuration/state_test.go
@@ -34,7 +34,7 @@
 		{"repeated", start, false, false, 5, 2},
 		{"older", lovageyard.Changes{After: 0, To: 4, Rows: []lovageyard.Row{classRow("z", 4, false)}}, false, false, 5, 2},
 		{"gap", lovageyard.Changes{After: 6, To: 9, Rows: []lovageyard.Row{classRow("z", 9, false)}}, false, true, 5, 2},
-		{"all rows anew", lovageyard.Changes{After: 0, To: 8, Rows: []lovageyard.Row{classRow("b", 5, false)}}, true, false, 8, 1},
+		{"full read", lovageyard.Changes{After: 0, To: 8, Rows: []lovageyard.Row{classRow("b", 5, false)}}, true, false, 8, 1},
 		{"an older row within newer changes", lovageyard.Changes{After: 1, To: 6, Rows: []lovageyard.Row{classRow("b", 2, true)}}, true, false, 6, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 	return value
 }
 
-// A replica that has read all rows does not know which rows were deleted before. A peer that
+// A replica that starts with a full read does not know which rows were deleted before. A peer that
 // missed such a deletion must still learn of it.
 func TestSinceIncludesRemovalsBeforeFullRead(t *testing.T) {
 	c := qt.New(t)
