--- a/operator/charges.go
+++ b/operator/charges.go
@@ -56,10 +56,10 @@
 }
 
 func (h *Handler) settleCharge(w http.ResponseWriter, r *http.Request) {
-	var order Settlement
+	var settlement Settlement
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&order); err != nil || order.Operator == "" {
+	if err := decoder.Decode(&settlement); err != nil || settlement.Operator == "" {
 		writeProblem(w, http.StatusBadRequest, errors.New("settlement: ran, and the operator's name, are needed"))
 		return
 	}
@@ -67,7 +67,7 @@
 	if !ok {
 		return
 	}
-	settled, err := charge.Settle(claim, order.Ran, order.Operator, h.timer.Now())
+	settled, err := charge.Settle(claim, settlement.Ran, settlement.Operator, h.timer.Now())
 	if err != nil {
 		writeProblem(w, http.StatusConflict, err)
 		return
--- a/operator/client.go
+++ b/operator/client.go
@@ -59,18 +59,18 @@
 	return h, c.get(ctx, "/healthz", &h)
 }
 
-// Class returns a class with the version to pass to PutClass or DeleteClass.
+// Class returns a class with the version of its row, to be passed to PutClass or DeleteClass.
 func (c *Client) Class(ctx context.Context, name string) (VersionedClass, error) {
-	var k VersionedClass
-	return k, c.get(ctx, "/classes/"+url.PathEscape(name), &k)
+	var current VersionedClass
+	return current, c.get(ctx, "/classes/"+url.PathEscape(name), &current)
 }
 
 // PutClass writes a class if its row still has the given version; 0 creates the class. If the row
 // has another version, the error is a *CallError with status 409 and the current class.
-func (c *Client) PutClass(ctx context.Context, k lovageyard.Class, version int64) (VersionedClass, error) {
+func (c *Client) PutClass(ctx context.Context, class lovageyard.Class, version int64) (VersionedClass, error) {
 	var accepted VersionedClass
-	path := "/classes/" + url.PathEscape(k.Name) + "?version=" + strconv.FormatInt(version, 10)
-	return accepted, c.call(ctx, http.MethodPut, path, k, &accepted)
+	path := "/classes/" + url.PathEscape(class.Name) + "?version=" + strconv.FormatInt(version, 10)
+	return accepted, c.call(ctx, http.MethodPut, path, class, &accepted)
 }
 
 // DeleteClass deletes a class if its row still has the given version.
@@ -104,8 +104,8 @@
 // SettleCharge settles a charge of unknown outcome as run or not run, on behalf of an operator.
 func (c *Client) SettleCharge(ctx context.Context, class, key string, ran bool, operator string) (charge.Claim, error) {
 	var settled charge.Claim
-	order := Settlement{Ran: ran, Operator: operator}
-	return settled, c.call(ctx, http.MethodPost, chargePath(class, key)+"/settle", order, &settled)
+	settlement := Settlement{Ran: ran, Operator: operator}
+	return settled, c.call(ctx, http.MethodPost, chargePath(class, key)+"/settle", settlement, &settled)
 }
 
 func chargePath(class, key string) string {
@@ -124,7 +124,7 @@
 }
 
 // call tries the addresses in order. A write is sent to the next address only if no connection
-// to the previous one could be established, because otherwise it may already have been made.
+// to the previous one could be established, because otherwise it may already have taken effect.
 func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
 	var data []byte
 	if body != nil {
--- a/operator/data.go
+++ b/operator/data.go
@@ -15,9 +15,10 @@
 	State         lovageyard.InstanceState `json:"state"`
 	Version       int64                    `json:"version"`
 	Relay         bool                     `json:"relay"`
-	// Planners lists the planners known to the queried instance.
+	// Planners lists the planner leases that the instance knows.
 	Planners []PlannerStatus `json:"planners"`
-	Blocks   int             `json:"blocks"`
+	// Blocks is the number of address blocks in the instance's block table.
+	Blocks int `json:"blocks"`
 	// ListAgeMs is the age of the platform's instance list, in milliseconds.
 	ListAgeMs int64                  `json:"list-age-ms"`
 	Classes   []VersionedClass       `json:"classes"`
@@ -40,8 +41,8 @@
 	Class   lovageyard.Class `json:"class"`
 }
 
-// InstanceStatus is the queried instance's view of an entry instance. Version is the version of
-// the configuration that the latter has reported.
+// InstanceStatus is the queried instance's view of an entry instance. Version is the configuration
+// version that the entry instance has reported.
 type InstanceStatus struct {
 	lovageyard.EntryInstance
 	Version int64 `json:"version"`
@@ -74,21 +75,26 @@
 	MeanMs    float64 `json:"mean-ms"`
 }
 
-// Explanation describes where a request of a client would be routed, and why.
+// Explanation describes where the queried instance would route a request of a client, and why.
 type Explanation struct {
-	Class       string  `json:"class"`
-	Client      string  `json:"client"`
-	Block       string  `json:"block"`
-	Home        string  `json:"home"`
-	Bucket      int     `json:"bucket"`
-	Site        string  `json:"site"`
-	MovingTo    string  `json:"moving-to"`
+	Class  string `json:"class"`
+	Client string `json:"client"`
+	// Block is the client's address block, and Home the home failure domain of the block.
+	Block  string `json:"block"`
+	Home   string `json:"home"`
+	Bucket int    `json:"bucket"`
+	// Site serves the bucket. MovingTo is the site that the bucket moves to, or Site if it does not move.
+	Site     string `json:"site"`
+	MovingTo string `json:"moving-to"`
+	// Moved is the share of the bucket, 0 to 1, that has moved, and Moving reports whether the rest
+	// moves in the current step.
 	Moved       float64 `json:"moved"`
 	Moving      bool    `json:"moving"`
 	PlanStep    int64   `json:"plan-step"`
 	PlannedSite string  `json:"planned-site"`
-	Move        string  `json:"move"`
-	Reason      string  `json:"reason"`
+	// Move is the reason of the class's move, or "" if there is none.
+	Move   string `json:"move"`
+	Reason string `json:"reason"`
 }
 
 // DrainOrder is the body of the request to drain a site. EmptyBy is optional.
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -34,8 +34,8 @@
 	timer      lovageyard.Timer
 }
 
-// NewHandler returns a handler that reads state from c, writes orders to table and exports the
-// metrics in registry.
+// NewHandler returns a handler that reads the instance's state from c, reads and writes operators'
+// rows in table, and exports the metrics in registry.
 func NewHandler(c Controller, table lovageyard.Table, timer lovageyard.Timer, registry metrics.Registry) *Handler {
 	h := &Handler{
 		mux:        http.NewServeMux(),
@@ -164,7 +164,7 @@
 	h.respondToWrite(w, Accepted{Version: accepted}, err)
 }
 
-// Accepted is the response to a delete that took effect; Version is that of the change.
+// Accepted is the response to a deletion that took effect; Version is the version of the change.
 type Accepted struct {
 	Version int64 `json:"version"`
 }
@@ -250,8 +250,8 @@
 	writeOK(w, explanation)
 }
 
-// respondToWrite responds to a write that was accepted, conflicted with another write, failed, or
-// has an unknown outcome.
+// respondToWrite responds to a write according to its error: accepted if it is nil, or else in conflict
+// with another write, of unknown outcome, or failed.
 func (h *Handler) respondToWrite(w http.ResponseWriter, accepted any, err error) {
 	var conflict *lovageyard.ConflictError
 	switch {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -18,7 +18,7 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// faultyTable is a table whose transactions lose the request or the response.
+// faultyTable is a table that can lose the request or the response of transactions and fail reads.
 type faultyTable struct {
 	lovageyard.Table
 	loseResponse bool
@@ -44,7 +44,7 @@
 	return f.Table.Read(ctx, table, key)
 }
 
-// fakeController is a controller that knows one site.
+// fakeController is a Controller with one site, which counts the calls of Poll.
 type fakeController struct {
 	polls int
 }
@@ -83,9 +83,9 @@
 }
 
 func statusOf(c *qt.C, err error) int {
-	var call *CallError
-	c.Assert(errors.As(err, &call), qt.IsTrue, qt.Commentf("%v", err))
-	return call.Status
+	var callErr *CallError
+	c.Assert(errors.As(err, &callErr), qt.IsTrue, qt.Commentf("%v", err))
+	return callErr.Status
 }
 
 func TestConcurrentWrites(t *testing.T) {
@@ -98,11 +98,11 @@
 	c.Assert(err, qt.IsNil)
 	_, err = client.PutClass(ctx, testClass(3), first.Version)
 	c.Assert(statusOf(c, err), qt.Equals, 409)
-	var call *CallError
-	errors.As(err, &call)
-	c.Assert(call.Problem.Winner.Version, qt.Equals, second.Version)
-	c.Assert(call.Problem.Winner.Class.Importance, qt.Equals, 2)
-	c.Assert(call.Problem.Verdict, qt.Equals, lovageyard.VerdictNotRun)
+	var callErr *CallError
+	errors.As(err, &callErr)
+	c.Assert(callErr.Problem.Winner.Version, qt.Equals, second.Version)
+	c.Assert(callErr.Problem.Winner.Class.Importance, qt.Equals, 2)
+	c.Assert(callErr.Problem.Verdict, qt.Equals, lovageyard.VerdictNotRun)
 	c.Assert(controller.polls, qt.Equals, 2)
 	c.Assert(client.DeleteClass(ctx, "lookups", second.Version), qt.IsNil)
 	_, err = client.Class(ctx, "lookups")
@@ -130,9 +130,9 @@
 				return
 			}
 			c.Assert(statusOf(c, err), qt.Equals, test.status)
-			var call *CallError
-			errors.As(err, &call)
-			c.Assert(call.Problem.Verdict, qt.Equals, test.verdict)
+			var callErr *CallError
+			errors.As(err, &callErr)
+			c.Assert(callErr.Problem.Verdict, qt.Equals, test.verdict)
 		})
 	}
 }
@@ -173,13 +173,13 @@
 	client, table, _ := newTestServer(t)
 	ctx := context.Background()
 	clock := timer.NewManual(time.Unix(1000, 0))
-	book := charge.NewStore(table, clock, "entry/1")
-	defer book.Close()
-	claim, _, err := book.Claim(ctx, charge.Request{Class: "charges", Key: "a/b?c", SendBefore: clock.Now().Add(time.Second)})
+	store := charge.NewStore(table, clock, "entry/1")
+	defer store.Close()
+	claim, _, err := store.Claim(ctx, charge.Request{Class: "charges", Key: "a/b?c", SendBefore: clock.Now().Add(time.Second)})
 	c.Assert(err, qt.IsNil)
 	_, err = client.SettleCharge(ctx, "charges", "a/b?c", true, "olle")
 	c.Assert(statusOf(c, err), qt.Equals, 409)
-	book.MarkUnknown(claim)
+	store.MarkUnknown(claim)
 	unknown, err := client.Charges(ctx, charge.Unknown)
 	c.Assert(err, qt.IsNil)
 	c.Assert(unknown, qt.HasLen, 1)
--- a/operator/store.go
+++ b/operator/store.go
@@ -13,7 +13,7 @@
 // lost.
 const maxReadBacks = 3
 
-// store makes operators' writes, conditional on the version that the operator read.
+// store writes operators' rows, conditional on the version that the operator read.
 type store struct {
 	table lovageyard.Table
 }
@@ -47,7 +47,8 @@
 	return 0, err
 }
 
-// resolveLostWrite determines the outcome of a write whose response was lost from the current row.
+// resolveLostWrite determines the outcome of a write whose response was lost. It compares the row that
+// was read back, which may be absent, with the write.
 func resolveLostWrite(w lovageyard.Write, version int64, row lovageyard.Row, absent bool) (int64, error) {
 	switch {
 	case w.Delete && absent, !w.Delete && !absent && bytes.Equal(row.Value, w.Value):
