--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -38,7 +38,8 @@
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 	closeTimeout   = 5 * time.Second
-	// leaveMargin is added to the time for which callers may cache a look-up's response.
+	// leaveMargin is added to the time for which a leaving instance still serves, which is how long
+	// callers may cache a look-up's response.
 	leaveMargin = time.Second
 )
 
@@ -94,7 +95,7 @@
 }
 
 // start opens the listeners and starts to serve. It prints the instance's description, with the
-// actual addresses, as one JSON line to standard output.
+// addresses that it listens on, as one JSON line to standard output.
 func start(o options) (*daemon, error) {
 	logger, err := settings.Logger(o.LogLevel, o.LogFormat)
 	if err != nil {
@@ -176,9 +177,9 @@
 	return d
 }
 
-// serveUntil periodically closes expired idle connections to servers until leave is closed.
-func (d *daemon) serveUntil(leave <-chan struct{}) {
-	ticker := d.timer.Subscribe(expirePeriod)
+// closeExpiredUntil periodically closes expired idle connections to servers until leave is closed.
+func (d *daemon) closeExpiredUntil(leave <-chan struct{}) {
+	ticker := d.timer.Subscribe(checkPeriod)
 	defer ticker.Close()
 	for {
 		select {
@@ -208,8 +209,8 @@
 	}()
 }
 
-// stop shuts down gracefully. It leaves look-ups, serves while callers may still have a cached
-// look-up response with this instance, waits for the requests in flight, and closes everything.
+// stop shuts down gracefully. It withdraws the instance from look-ups, serves while callers may still
+// have a cached response that contains it, waits for the requests in flight, and closes everything.
 // Canceling abort ends the waits.
 func (d *daemon) stop(abort context.Context) error {
 	d.logger.Info("leaving")
@@ -235,7 +236,7 @@
 }
 
 // drainCallers waits for the callers' requests in flight, at most for the longest deadline of a
-// class.
+// class and a margin.
 func (d *daemon) drainCallers(abort context.Context) error {
 	shutdownCtx, cancel := context.WithTimeout(abort, d.longestDeadline())
 	defer cancel()
--- a/lovageyardd/edge.go
+++ b/lovageyardd/edge.go
@@ -34,20 +34,21 @@
 
 // Limits and periods of an edge instance.
 const (
-	// heapShare is the share of the process's memory limit that is set as Go's memory limit.
-	heapShare   = 0.7
-	bytesPerMiB = 1 << 20
+	// memoryLimitShare is the share of the process's memory limit that is set as the soft memory limit
+	// of the Go runtime.
+	memoryLimitShare = 0.7
+	bytesPerMiB      = 1 << 20
 	// edgeHeaderTimeout limits the time to read a request's headers.
 	edgeHeaderTimeout = 10 * time.Second
 	// edgeIdleTimeout is longer than callers keep idle connections for reuse.
 	edgeIdleTimeout = 90 * time.Second
 	// edgeMaxHeaderBytes limits the size of a request's headers; net/http adds 4 KiB.
 	edgeMaxHeaderBytes = 16 << 10
-	// expirePeriod is the period of the checks for expired idle connections, changed settings
-	// and gauges.
-	expirePeriod = time.Second
-	// Shares of the time allowed for leaving: new requests are refused after refuseAfterShare of
-	// it, and the remaining connections are closed after closeAfterShare of it.
+	// checkPeriod is the period of the checks for expired idle connections and changed settings, and
+	// of the updates of the gauges.
+	checkPeriod = time.Second
+	// Shares of the LeaveWithin setting: a leaving instance refuses new requests after
+	// refuseAfterShare of it, and closes the remaining connections after closeAfterShare of it.
 	refuseAfterShare = 0.5
 	closeAfterShare  = 0.93
 )
@@ -69,7 +70,7 @@
 	callerServer *http.Server
 	otherServers []*http.Server
 	// version is the configuration's version at the last update of the gauges, and versionSince
-	// the time when it was first seen.
+	// the time of the first update that had it.
 	version      uint64
 	versionSince time.Time
 }
@@ -83,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	ticker := e.timer.Subscribe(expirePeriod)
+	ticker := e.timer.Subscribe(checkPeriod)
 	defer ticker.Close()
 	file := newSettingsFile(os.Getenv(platform.SettingsVariable))
 	for {
@@ -110,7 +111,7 @@
 		return nil, err
 	}
 	if o.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(o.MemoryMB) * bytesPerMiB))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(o.MemoryMB) * bytesPerMiB))
 	}
 	sockets, err := o.listen()
 	if err != nil {
@@ -232,7 +233,7 @@
 // serveAll starts to serve on all sockets.
 func (e *edge) serveAll(s *edgeSockets) {
 	o := e.options
-	e.callerServer = edgeServer(entry.NewHandler(entry.Settings{
+	e.callerServer = newEdgeServer(entry.NewHandler(entry.Settings{
 		Source:     e.control,
 		Codec:      platform.Headers{},
 		Sender:     e.link,
@@ -253,7 +254,7 @@
 	}
 }
 
-// peerServices returns the handler of the RPC services for peers.
+// peerServices returns the handler of the RPC services that peers call.
 func (e *edge) peerServices() http.Handler {
 	services := http.NewServeMux()
 	for _, s := range []wire.TwirpServer{wire.NewFleetServer(e.control), wire.NewQuotaServer(e.limiter)} {
@@ -263,12 +264,12 @@
 }
 
 func (e *edge) serveOther(l net.Listener, h http.Handler) {
-	server := edgeServer(h)
+	server := newEdgeServer(h)
 	e.otherServers = append(e.otherServers, server)
 	e.serve(l, server)
 }
 
-func edgeServer(h http.Handler) *http.Server {
+func newEdgeServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: edgeHeaderTimeout,
@@ -327,9 +328,9 @@
 	e.meters.Write(w)
 }
 
-// leave shuts down gracefully within the LeaveWithin setting. It leaves look-ups, serves while
-// callers may still have a cached look-up response with this instance, then refuses new
-// requests, waits for those in flight, and closes everything.
+// leave shuts down gracefully within the LeaveWithin setting. It withdraws the instance from look-ups,
+// serves while callers may still have a cached response that contains it, then refuses new requests,
+// waits for those in flight, and closes everything.
 func (e *edge) leave() {
 	e.logger.Info("leaving")
 	startedAt := e.timer.Now()
--- a/lovageyardd/edge_options.go
+++ b/lovageyardd/edge_options.go
@@ -10,7 +10,8 @@
 	"lovageyard.example/lovageyard/settings"
 )
 
-// minShiftWindow is the shortest window that still contains enough requests to count.
+// minShiftWindow is the minimum of the ShiftWindow setting; a shorter window contains too few requests
+// to count.
 const minShiftWindow = 100 * time.Millisecond
 
 // edgeOptions holds the settings of edge mode.
@@ -76,10 +77,10 @@
 			return err
 		}
 	}
-	return o.checkBounds()
+	return o.checkRanges()
 }
 
-func (o *edgeOptions) checkBounds() error {
+func (o *edgeOptions) checkRanges() error {
 	switch {
 	case o.KeepFor <= 0 || o.KeepForMax <= 0:
 		return errors.New("--keep-for and --keep-for-max: must be positive")
@@ -110,7 +111,7 @@
 	return err
 }
 
-// bounds returns the limits that apply to all instances together.
+// bounds returns the limits on retries, cold servers and shifts, which apply to all instances together.
 func (o *edgeOptions) bounds() dispatch.Bounds {
 	return dispatch.Bounds{
 		Retries: dispatch.RetryBound{Ratio: o.RetryRatio, Window: o.RetryWindow, Slack: o.RetrySlack},
@@ -119,8 +120,8 @@
 	}
 }
 
-// ageLimitShare is the share of the operators' limits on the age of a configuration that is used.
-// The rest is reserved for reading and evaluating a request.
+// ageLimitShare is the share of the RevokeWithin and ApplyWithin settings that is used as the limit on
+// the configuration's age. The rest is reserved for reading and evaluating a request.
 const ageLimitShare = 0.9
 
 // ageLimits returns the limits on the age of the configuration by which requests are evaluated.
@@ -131,8 +132,8 @@
 	}
 }
 
-// localDemandShare returns the share of failure domains that are in this instance's region, as an
-// estimate of the share of requests that come from the region.
+// localDemandShare estimates the share of requests that come from this instance's region as the share
+// of failure domains that are in it.
 func (o *edgeOptions) localDemandShare() float64 {
 	own := 0
 	for _, region := range o.Regions {
--- a/lovageyardd/edge_test.go
+++ b/lovageyardd/edge_test.go
@@ -43,8 +43,8 @@
 func renderWith(c *qt.C, additional map[string]string) string {
 	text, err := os.ReadFile(filepath.Join("..", "deploy", "settings.json"))
 	c.Assert(err, qt.IsNil)
-	section := regexp.MustCompile(`\{\{#Zones\}\}.*\{\{/Zones\}\}`)
-	filled := section.ReplaceAllString(string(text), "north-1=north,south-1=south")
+	zones := regexp.MustCompile(`\{\{#Zones\}\}.*\{\{/Zones\}\}`)
+	filled := zones.ReplaceAllString(string(text), "north-1=north,south-1=south")
 	filled = sections.ReplaceAllStringFunc(filled, func(text string) string {
 		parts := sections.FindStringSubmatch(text)
 		if _, found := additional[parts[2]]; found != (parts[1] == "#") {
@@ -52,8 +52,8 @@
 		}
 		return parts[3]
 	})
-	for _, set := range []map[string]string{templateValues, additional} {
-		for name, value := range set {
+	for _, values := range []map[string]string{templateValues, additional} {
+		for name, value := range values {
 			filled = strings.ReplaceAll(filled, "{{"+name+"}}", value)
 		}
 	}
@@ -67,7 +67,7 @@
 	file, err := settings.File(path)
 	c.Assert(err, qt.IsNil)
 	var parsed commands
-	_, err = settings.Read([]string{"edge"}, programName, prefix, programAbout, &parsed, file)
+	_, err = settings.Read([]string{"edge"}, programName, envPrefix, programAbout, &parsed, file)
 	return parsed.Edge, err
 }
 
--- a/lovageyardd/main.go
+++ b/lovageyardd/main.go
@@ -26,7 +26,7 @@
 const (
 	programName  = "lovageyardd"
 	programAbout = "An entry instance of the traffic steering system."
-	prefix       = "LOVAGEYARD"
+	envPrefix    = "LOVAGEYARD"
 )
 
 func main() {
@@ -36,7 +36,7 @@
 		os.Exit(settings.ExitUsage)
 	}
 	var c commands
-	parsed := settings.Parse(programName, prefix, programAbout, &c, file...)
+	parsed := settings.Parse(programName, envPrefix, programAbout, &c, file...)
 	switch command, _, _ := strings.Cut(parsed.Command(), " "); command {
 	case "edge":
 		err = runEdge(c.Edge)
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	d.serveUntil(leave.Done())
+	d.closeExpiredUntil(leave.Done())
 	abort, stopAbort := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stopAbort()
 	return d.stop(abort)
--- a/lovageyardd/options.go
+++ b/lovageyardd/options.go
@@ -62,10 +62,10 @@
 			return err
 		}
 	}
-	return o.checkRules()
+	return o.checkRanges()
 }
 
-func (o *options) checkRules() error {
+func (o *options) checkRanges() error {
 	const maxHeadroom, maxQueue = 0.9, 100
 	if o.KeepFor <= 0 || o.KeepFor > maxKeepFor {
 		return errors.Errorf("--keep-for: %s is not above 0s and at most %s", o.KeepFor, maxKeepFor)
--- a/lovageyardd/reload.go
+++ b/lovageyardd/reload.go
@@ -36,7 +36,7 @@
 	return !same
 }
 
-// reload reads the settings again and applies those that can change at run time: the bounds, the
+// reload reads the settings again and applies those that can change at run time: those in bounds, the
 // seed peers and the log level. If a setting is invalid, all previous settings stay in effect.
 func (e *edge) reload(cause string) {
 	file, err := fileOptions()
@@ -45,17 +45,17 @@
 		return
 	}
 	var c commands
-	parsed, err := settings.Read(os.Args[1:], programName, prefix, programAbout, &c, file...)
+	parsed, err := settings.Read(os.Args[1:], programName, envPrefix, programAbout, &c, file...)
 	if err != nil || parsed == nil {
 		e.logger.WithError(err).WithField("cause", cause).Error("settings not reloaded")
 		return
 	}
-	fresh, err := settings.Logger(c.Edge.LogLevel, c.Edge.LogFormat)
+	logger, err := settings.Logger(c.Edge.LogLevel, c.Edge.LogFormat)
 	if err != nil {
 		e.logger.WithError(err).WithField("cause", cause).Error("settings not reloaded")
 		return
 	}
-	e.logger.SetLevel(fresh.Level)
+	e.logger.SetLevel(logger.Level)
 	e.dispatch.SetBounds(c.Edge.bounds())
 	e.control.SetSeeds(c.Edge.PeerAddresses)
 	e.logger.WithField("cause", cause).Info("settings reloaded")
