--- a/meter/meter.go
+++ b/meter/meter.go
@@ -69,7 +69,7 @@
 	LogDroppedOther      = Metric{"log-dropped-other", Gauge, nil, "other log lines dropped since the start"}
 )
 
-// All returns the metrics in the order of the reference page.
+// All returns all metrics in the order of the reference page.
 func All() []Metric {
 	return []Metric{
 		Answers, Refusals, Latency, ExpectedWait, Sends, Retries, RetriesDenied, ColdSends, ShareElsewhere, InFlight,
@@ -82,10 +82,10 @@
 }
 
 const (
-	// maxSeries limits the label combinations of one metric. A large configuration has some tens
-	// of services, with a dozen statuses or failure domains each.
+	// maxSeries limits the number of label combinations of one metric. A large configuration has
+	// some tens of services, each with a dozen statuses or failure domains.
 	maxSeries = 500
-	// otherSeries replaces the labels of further combinations.
+	// otherSeries replaces the labels of all further combinations.
 	otherSeries = "others"
 	// Size and decay factor of the sample of a histogram, as recommended by go-metrics.
 	sampleSize  = 1028
@@ -96,7 +96,8 @@
 type Set struct {
 	registry metrics.Registry
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// series holds the known label combinations of each metric.
 	series map[string]map[string]bool
 }
 
@@ -131,8 +132,8 @@
 	}
 }
 
-// seriesName returns the registry's name for a label combination. Beyond maxSeries combinations
-// it returns a common name.
+// seriesName returns the registry's name for a label combination. Beyond maxSeries combinations of
+// a metric it returns one common name.
 func (s *Set) seriesName(m Metric, labels []string) string {
 	if len(labels) == 0 {
 		return m.Name
