--- a/settings/file.go
+++ b/settings/file.go
@@ -18,7 +18,7 @@
 	}
 	values := make(map[string]string)
 	if err := json.Unmarshal(data, &values); err != nil {
-		return nil, errors.Wrapf(err, "settings file %s: a JSON object of texts is expected", path)
+		return nil, errors.Wrapf(err, "settings file %s: a JSON object of strings is expected", path)
 	}
 	resolver := func(_ *kong.Context, _ *kong.Path, flag *kong.Flag) (any, error) {
 		if value := values[flag.Name]; value != "" {
--- a/settings/file_test.go
+++ b/settings/file_test.go
@@ -17,7 +17,8 @@
 	Peers   []string
 }
 
-func read(c *qt.C, text string, arguments ...string) (options, error) {
+// readSettings reads options from a settings file with the given text and from arguments.
+func readSettings(c *qt.C, text string, arguments ...string) (options, error) {
 	path := filepath.Join(c.TempDir(), "settings.json")
 	c.Assert(os.WriteFile(path, []byte(text), 0o600), qt.IsNil)
 	file, err := settings.File(path)
@@ -31,7 +32,7 @@
 
 func TestFileProvidesSettings(t *testing.T) {
 	c := qt.New(t)
-	o, err := read(c, `{"keep-for": "3s", "regions": "a=x,b=y", "peers": "p:1,q:2", "unknown": "1"}`)
+	o, err := readSettings(c, `{"keep-for": "3s", "regions": "a=x,b=y", "peers": "p:1,q:2", "unknown": "1"}`)
 	c.Assert(err, qt.IsNil)
 	c.Assert(o, qt.DeepEquals, options{
 		KeepFor: 3 * time.Second, Regions: map[string]string{"a": "x", "b": "y"}, Peers: []string{"p:1", "q:2"},
@@ -40,7 +41,7 @@
 
 func TestFlagsOverrideFileAndEmptyStringsAreIgnored(t *testing.T) {
 	c := qt.New(t)
-	o, err := read(c, `{"keep-for": "3s", "peers": ""}`, "--keep-for", "5s")
+	o, err := readSettings(c, `{"keep-for": "3s", "peers": ""}`, "--keep-for", "5s")
 	c.Assert(err, qt.IsNil)
 	c.Assert(o.KeepFor, qt.Equals, 5*time.Second)
 	c.Assert(o.Peers, qt.HasLen, 0)
@@ -48,9 +49,9 @@
 
 func TestInvalidFile(t *testing.T) {
 	c := qt.New(t)
-	_, err := read(c, `{"keep-for": 3}`)
-	c.Assert(err, qt.ErrorMatches, "settings file .*: a JSON object of texts is expected.*")
-	_, err = read(c, `{"keep-for": "soon"}`)
+	_, err := readSettings(c, `{"keep-for": 3}`)
+	c.Assert(err, qt.ErrorMatches, "settings file .*: a JSON object of strings is expected.*")
+	_, err = readSettings(c, `{"keep-for": "soon"}`)
 	c.Assert(err, qt.ErrorMatches, ".*keep-for.*")
 	_, err = settings.File(filepath.Join(c.TempDir(), "none"))
 	c.Assert(err, qt.ErrorMatches, "settings file: .*")
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -15,35 +15,36 @@
 // ExitUsage is the exit status of a program with invalid settings.
 const ExitUsage = 2
 
-// timestampFormat has milliseconds, so that lines of the same second can be ordered.
+// timestampFormat is the format of timestamps in JSON lines. It has milliseconds, so that lines of the
+// same second can be ordered.
 const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Checker is implemented by settings that validate themselves. The error of Check names the
-// setting.
+// Checker is implemented by settings structs that validate themselves. The error of Check names the
+// invalid setting.
 type Checker interface {
 	Check() error
 }
 
 // Parse parses the command line and the environment into the struct that into points to, and
 // validates it. The environment variable of a flag such as --caller-address is
-// PREFIX_CALLER_ADDRESS. If a setting is invalid, Parse prints one line to standard error and
-// exits with status ExitUsage.
-func Parse(name, prefix, about string, into any, more ...kong.Option) *kong.Context {
-	parsed, err := Read(os.Args[1:], name, prefix, about, into, more...)
+// PREFIX_CALLER_ADDRESS, with the given prefix. If a setting is invalid, Parse prints one line to
+// standard error and exits with status ExitUsage.
+func Parse(name, prefix, about string, into any, extra ...kong.Option) *kong.Context {
+	parsed, err := Read(os.Args[1:], name, prefix, about, into, extra...)
 	if err != nil {
 		fail(os.Stderr, name, err)
 	}
 	return parsed
 }
 
-// Read parses and validates settings like Parse, but returns the first error.
-func Read(arguments []string, name, prefix, about string, into any, more ...kong.Option) (*kong.Context, error) {
+// Read parses and validates settings from the given arguments like Parse, but returns the first error.
+func Read(arguments []string, name, prefix, about string, into any, extra ...kong.Option) (*kong.Context, error) {
 	parser, err := kong.New(into, append([]kong.Option{
 		kong.Name(name),
 		kong.Description(about),
 		kong.DefaultEnvars(prefix),
 		kong.UsageOnError(),
-	}, more...)...)
+	}, extra...)...)
 	if err != nil {
 		return nil, err
 	}
