--- a/lovageyard/main.go
+++ b/lovageyard/main.go
@@ -98,7 +98,7 @@
 	return exitFailed
 }
 
-// printConflict prints the class in force to standard error if a write failed by a version conflict.
+// printConflict prints the class in force to standard error if a write failed with a version conflict.
 func printConflict(err error) {
 	var call *operator.CallError
 	if !errors.As(err, &call) || call.Problem.Winner == nil {
--- a/lovageyard/plot.go
+++ b/lovageyard/plot.go
@@ -55,7 +55,8 @@
 	bins    map[int64]int
 }
 
-// curves returns the outcomes of a name's requests by bin: in time, late, then the others by name.
+// curves returns one curve for each outcome of a name's requests: in time, late, then the others in
+// alphabetical order.
 func (t *tally) curves(dimension, name string) []curve {
 	var all []curve
 	for key, bins := range t.counts {
--- a/lovageyard/report.go
+++ b/lovageyard/report.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxCharts is the maximum number of charts of one dimension. They are of the names with the most
-// requests that were not answered in time; the tables list all names.
+// maxCharts is the maximum number of charts of one dimension. The names with the most requests that were
+// not answered in time get a chart; the tables list all names.
 const maxCharts = 12
 
 type reportCommand struct {
@@ -44,8 +44,8 @@
 	if err := file.Close(); err != nil {
 		return errors.Wrap(err, "--page")
 	}
-	written := reportSummary{Page: r.Page, Requests: counts.requests, BadLines: malformed}
-	return s.print(written, func(w io.Writer) {
+	summary := reportSummary{Page: r.Page, Requests: counts.requests, BadLines: malformed}
+	return s.print(summary, func(w io.Writer) {
 		fmt.Fprintf(w, "%s: %d requests, %d malformed lines\n", r.Page, counts.requests, malformed)
 	})
 }
--- a/lovageyard/report_test.go
+++ b/lovageyard/report_test.go
@@ -21,14 +21,14 @@
 
 func tallyOf(c *qt.C, width time.Duration, text string) (*tally, int) {
 	t := newTally(width)
-	bad, err := scanLogs(nil, strings.NewReader(text), t.add)
+	malformed, err := scanLogs(nil, strings.NewReader(text), t.add)
 	c.Assert(err, qt.IsNil)
-	return t, bad
+	return t, malformed
 }
 
 func TestRequestsAreCountedByOutcome(t *testing.T) {
 	c := qt.New(t)
-	counts, bad := tallyOf(c, time.Second, `{"time":"2026-12-02T10:00:00Z","instance":"a","msg":"started","region":"north"}
+	counts, malformed := tallyOf(c, time.Second, `{"time":"2026-12-02T10:00:00Z","instance":"a","msg":"started","region":"north"}
 not a line
 `+requestLine(time.Second, `"outcome":"answered","status":200,"elapsed-ms":100,"goal-ms":200`)+
 		requestLine(time.Second, `"outcome":"answered","status":200,"elapsed-ms":300,"goal-ms":200`)+
@@ -36,7 +36,7 @@
 		requestLine(time.Second, `"outcome":"refused","status":503,"reason":"full","cause":"region-full"`)+
 		requestLine(time.Second, `"outcome":"repeated","reason":"the server answered 500"`)+
 		requestLine(time.Second, `"outcome":"client gone","status":499`))
-	c.Assert(bad, qt.Equals, 1)
+	c.Assert(malformed, qt.Equals, 1)
 	want := total{Requests: 5, InTime: 1, Late: 1, Refused: 1, Other: 2}
 	for dimension, name := range map[string]string{byAll: byAll, byClass: "r", byRegion: "north", bySite: "desk@n"} {
 		want.Name = name
@@ -68,12 +68,12 @@
 func TestOverlongLineIsSkippedAndCounted(t *testing.T) {
 	c := qt.New(t)
 	long := `{"msg":"` + strings.Repeat("x", 3*maxLineBytes) + `"}` + "\n"
-	counts, bad := tallyOf(c, time.Second, long+requestLine(0, `"outcome":"answered","status":200`))
-	c.Assert(bad, qt.Equals, 1)
+	counts, malformed := tallyOf(c, time.Second, long+requestLine(0, `"outcome":"answered","status":200`))
+	c.Assert(malformed, qt.Equals, 1)
 	c.Assert(counts.requests, qt.Equals, 1)
 }
 
-// Names come from logs and may contain markup, which must be escaped in the page.
+// The page must refer to no other file or address, and must escape markup in names, which come from logs.
 func TestReportPageIsSelfContained(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
--- a/lovageyard/tally.go
+++ b/lovageyard/tally.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Limits of a tally, which keep its memory constant however large the logs are.
+// Limits of a tally, which bound its memory however large the logs are.
 const (
 	// maxBins is the number of time bins at which the width of bins is doubled.
 	maxBins = 600
@@ -29,7 +29,7 @@
 	byAccount = "client account"
 )
 
-// Outcomes of requests. That of a refused request is followed by its cause.
+// Outcomes of requests. outcomeRefused is a prefix, which the cause of the refusal follows.
 const (
 	outcomeInTime     = "in time"
 	outcomeLate       = "late"
@@ -64,7 +64,7 @@
 	changes map[int64]map[string]*stateChange
 	// requests is the number of requests in all bins.
 	requests int
-	// dropped counts the changes beyond maxMarks.
+	// dropped counts the state changes that were not kept because of maxChanges.
 	dropped     int
 	first, last time.Time
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// outcomeOf returns the outcome of a request, or "" if the line is of an attempt that was repeated.
+// outcomeOf returns the outcome of a request, or "" for a line about an attempt that was repeated.
 func outcomeOf(l logLine) string {
 	switch l.Outcome {
 	case "answered":
@@ -130,7 +130,8 @@
 	return ""
 }
 
-// coverTime extends the range of times to one, and widens the bins until at most maxBins cover it.
+// coverTime extends the time range to include a time, and widens the bins while the range is maxBins or more
+// bins long.
 func (t *tally) coverTime(at time.Time) {
 	if t.first.IsZero() || at.Before(t.first) {
 		t.first = at
@@ -143,7 +144,7 @@
 	}
 }
 
-// widenBins doubles the width of bins and merges the counts and state changes of each two.
+// widenBins doubles the width of bins and merges the counts and state changes of each pair of bins.
 func (t *tally) widenBins() {
 	t.width *= 2
 	for _, bins := range t.counts {
