--- a/soak/accounts.go
+++ b/soak/accounts.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// revokeBound is the time after which a revoked key must not run anything; no fault excuses it.
+	// revokeBound is the time after the revocation of a key from which no request with it may run; no fault
+	// excuses it.
 	revokeBound = 5 * time.Second
 	// permanentAccounts is the number of accounts that every configuration has.
 	permanentAccounts = 3
@@ -75,7 +76,7 @@
 	if !known {
 		return
 	}
-	c.counts["judged requests for accounts"]++
+	c.counts["checked requests for accounts"]++
 	if showsKey || account != sent.name {
 		c.violationf("server %s got %s as of account %q, sent by %q; key shown: %v", server, id, account, sent.name, showsKey)
 	}
@@ -84,8 +85,8 @@
 	}
 }
 
-// sentAccount is the account that a request was sent with. revoked means that its key was revoked more than
-// revokeBound before, so that the request must not run.
+// sentAccount is the account whose key a request was sent with. revoked means that the key was revoked more
+// than revokeBound before, so that the request must not run.
 type sentAccount struct {
 	name    string
 	revoked bool
@@ -97,7 +98,7 @@
 	defer c.mu.Unlock()
 	c.accounts[id] = s
 	if s.revoked {
-		c.counts["judged requests with keys taken away"]++
+		c.counts["checked requests with revoked keys"]++
 	}
 }
 
@@ -106,6 +107,6 @@
 func (c *checker) checkKeyAccepted(o outcome) {
 	sent, known := c.accounts[o.ID]
 	if known && o.Status == http.StatusUnauthorized && isPermanent(sent.name) {
-		c.violationf("%s of %s was refused by %s, as if its key is unknown", o.ID, sent.name, o.Instance)
+		c.violationf("%s of %s was refused by %s, as if its key were unknown", o.ID, sent.name, o.Instance)
 	}
 }
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -30,8 +30,8 @@
 	// leaveSignalBound bounds the time that an instance may still send requests to a server after an answer
 	// that says that the server is leaving.
 	leaveSignalBound = 2500 * time.Millisecond
-	// Check of a rate limit: from limitAfter after it was announced, a server may get limitExcess times what
-	// the limit allows in a limitWindow, plus limitSlack.
+	// Check of a rate limit: later than limitAfter after the first announcement, a server may get in each
+	// limitWindow limitExcess times what the limit allows, plus limitSlack.
 	limitAfter  = 4 * time.Second
 	limitWindow = 4 * time.Second
 	limitExcess = 1.5
@@ -67,7 +67,7 @@
 // a time.
 func (d *deployment) applyBackpressure(b *backend, f fault) error {
 	d.mu.Lock()
-	if b.removed || b.hasBackpressure {
+	if b.unavailable || b.hasBackpressure {
 		d.mu.Unlock()
 		return nil
 	}
@@ -93,13 +93,14 @@
 	return nil
 }
 
-// leaveInAnswers has a server leave that announces it only in its answers, while the store still lists it.
+// leaveInAnswers has a server leave, after a replacement has started. The server announces it only in its
+// answers, while the store still lists it.
 func (d *deployment) leaveInAnswers(b *backend) error {
 	if err := d.addServer(b.FailureDomain); err != nil {
 		return err
 	}
 	d.mu.Lock()
-	b.removed = true
+	b.unavailable = true
 	d.mu.Unlock()
 	b.Leave()
 	time.Sleep(2 * serverLeaveTime)
@@ -112,14 +113,14 @@
 	server, instance string
 }
 
-// pendingSignal is the backpressure in a server's answer to a request that its caller has no answer to yet.
+// pendingSignal is the backpressure in a server's answer to a request whose caller has no answer yet.
 type pendingSignal struct {
 	server string
 	signal lovageyard.Backpressure
 	at     time.Time
 }
 
-// backoff is a period in which a server has asked an instance to send nothing.
+// backoff is a period in which an instance should send nothing to a server, as the server requested.
 type backoff struct {
 	requestedAt, until time.Time
 	sends              int
@@ -133,8 +134,8 @@
 	leaving  map[link]time.Time
 	limited  map[link]time.Time
 	backoffs map[link]backoff
-	// limits holds the largest limit that each server has announced recently, and announcedAt the time when it
-	// announced the first one.
+	// limits holds the largest limit that each server has announced since its last limit was lifted, and
+	// announcedAt the time when it announced the first one.
 	limits      map[string]float64
 	announcedAt map[string]time.Time
 	arrivals    map[string][]time.Time
@@ -218,7 +219,7 @@
 	b.sends++
 	c.backpressure.backoffs[to] = b
 	if b.sends > backoffSends {
-		c.violationf("server %s got %s from %s, request %d in a backoff that it asked for %s before", to.server, id, to.instance, b.sends, now.Sub(b.requestedAt))
+		c.violationf("server %s got %s from %s, request %d in a backoff that it requested %s before", to.server, id, to.instance, b.sends, now.Sub(b.requestedAt))
 	}
 }
 
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -35,7 +35,7 @@
 	cancel     context.CancelFunc
 	context    context.Context
 	running    sync.WaitGroup
-	numbers    atomic.Int64
+	lastNumber atomic.Int64
 	burst      atomic.Bool
 	// served and sent count the requests since ResetCounts.
 	served, sent atomic.Int64
@@ -136,7 +136,7 @@
 func (c *callerPool) sendAs(
 	client *http.Client, account string, revoked bool, address, method, path, body string, unsafe bool, timeout time.Duration,
 ) outcome {
-	id := fmt.Sprintf("%s-%d", c.run, c.numbers.Add(1))
+	id := fmt.Sprintf("%s-%d", c.run, c.lastNumber.Add(1))
 	c.check.RecordSend(id, address, unsafe)
 	if !c.deployment.withoutAccounts {
 		c.check.RecordAccount(id, sentAccount{name: account, revoked: revoked})
@@ -158,7 +158,7 @@
 	response, err := client.Do(request)
 	o.End = time.Now()
 	if err != nil {
-		// A request that the caller cancelled does not count as cut.
+		// A request that exceeded the caller's timeout does not count as cut.
 		o.Sent = o.Sent && ctx.Err() == nil
 		return o
 	}
@@ -175,9 +175,9 @@
 func (c *callerPool) probe() {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	previous := uint64(0)
-	version, accepted := c.deployment.versions()
+	version, accepted := c.deployment.currentVersion()
 	for c.context.Err() == nil {
-		if now, at := c.deployment.versions(); now != version {
+		if now, at := c.deployment.currentVersion(); now != version {
 			previous, version, accepted = version, now, at
 		}
 		var probing sync.WaitGroup
--- a/soak/check.go
+++ b/soak/check.go
@@ -35,7 +35,8 @@
 	Matches  bool
 	// Sent means that the whole request was written to an established connection.
 	Sent bool
-	End  time.Time
+	// End is the time when the header of the answer arrived or the request failed.
+	End time.Time
 	// Start is the time when the request was sent.
 	Start time.Time
 }
@@ -48,7 +49,8 @@
 // checker compares what callers and servers observe with the system's guarantees. It is safe for concurrent
 // use, and is the observer of all servers.
 type checker struct {
-	mu        sync.Mutex
+	mu sync.Mutex
+	// unsafe holds for each request that was sent whether it must not run twice.
 	unsafe    map[string]bool
 	ran       map[string]int
 	refused   map[string]bool
@@ -68,6 +70,7 @@
 	// request was sent to, which is the only one that forwards it.
 	nameOf map[string]string
 	sender map[string]string
+	// served holds the newest configuration version that each incarnation was seen to serve.
 	served map[string]uint64
 	// poisonPaths holds the path of each attempt at a poison request. crashes counts the servers that crashed
 	// by path, crashLimitAt is the time of the last crash that is allowed, and lateSends counts the sends
@@ -142,8 +145,8 @@
 	c.backpressure.startedAt[instance] = time.Now()
 }
 
-// isUnaffected reports whether no fault with a relevant target was in effect in a period, and counts how
-// often a check was made or excused; the caller holds the lock.
+// isUnaffected reports whether no fault with a relevant target was in effect in a period, so that a check can
+// be made, and counts how often it was made or excused; the caller holds the lock.
 func (c *checker) isUnaffected(check string, from, to time.Time, relevant func(target string) bool) bool {
 	for _, i := range c.impacts {
 		if relevant(i.target) && i.from.Before(to) && i.to.After(from) {
@@ -151,7 +154,7 @@
 			return false
 		}
 	}
-	c.counts["judged "+check]++
+	c.counts["checked "+check]++
 	return true
 }
 
@@ -192,7 +195,7 @@
 func (c *checker) CountFault(k kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts["played "+string(k)]++
+	c.counts["started "+string(k)]++
 }
 
 // RecordSend records a request. It is called before the request is sent to the instance at the address.
@@ -227,7 +230,7 @@
 	}
 	arrivals := append(recent(c.coldArrivals[server], coldWindow, now), now)
 	c.coldArrivals[server] = arrivals
-	c.counts["judged arrivals while cold"]++
+	c.counts["checked arrivals while cold"]++
 	if limit := coldRate*coldExcess + coldSlack; len(arrivals) > int(limit) {
 		c.violationf("cold server %s got %s, request %d in %s", server, id, len(arrivals), coldWindow)
 	}
@@ -247,8 +250,9 @@
 	}
 }
 
-// Arrived checks a request that reached a server against the limits of the server, and that the server has
-// not left and its failure domain is not drained.
+// Arrived checks a request that reached a server: a caller must have sent it, the limits on cold servers,
+// retries, poison requests and backpressure must hold, the server must not have left, and its failure domain
+// must not be drained.
 func (c *checker) Arrived(server, id string) {
 	now := time.Now()
 	c.mu.Lock()
@@ -261,13 +265,13 @@
 	sender := c.sender[id]
 	c.checkPoison(server, id, now)
 	c.checkBackpressure(server, id, now)
-	left, leaves := c.leftAt[server]
-	if leaves && now.Sub(left) > leaveBound && c.mustHaveApplied("arrivals after leaving", sender, left, leaveBound, now) {
-		c.violationf("server %s got %s from %s %s after it left", server, id, sender, now.Sub(left))
+	leftAt, hasLeft := c.leftAt[server]
+	if hasLeft && now.Sub(leftAt) > leaveBound && c.mustHaveApplied("arrivals after leaving", sender, leftAt, leaveBound, now) {
+		c.violationf("server %s got %s from %s %s after it left", server, id, sender, now.Sub(leftAt))
 	}
-	drained, drains := c.drainedAt[c.domainOf[server]]
-	if drains && now.Sub(drained) > leaveBound && c.mustHaveApplied("arrivals after a drain", sender, drained, leaveBound, now) {
-		c.violationf("server %s got %s from %s %s after its failure domain was drained", server, id, sender, now.Sub(drained))
+	drainedAt, isDrained := c.drainedAt[c.domainOf[server]]
+	if isDrained && now.Sub(drainedAt) > leaveBound && c.mustHaveApplied("arrivals after a drain", sender, drainedAt, leaveBound, now) {
+		c.violationf("server %s got %s from %s %s after its failure domain was drained", server, id, sender, now.Sub(drainedAt))
 	}
 }
 
@@ -283,7 +287,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.crashes[path]++
-	c.counts["servers ended by requests"]++
+	c.counts["servers crashed by requests"]++
 	if c.crashes[path] == poisonCrashLimit {
 		c.crashLimitAt[path] = time.Now()
 	}
@@ -294,7 +298,7 @@
 func (c *checker) checkPoison(server, id string, now time.Time) {
 	path := c.poisonPaths[id]
 	reachedAt, reached := c.crashLimitAt[path]
-	if !reached || now.Sub(reachedAt) <= poisonBound || !c.mustHaveApplied("sends of deadly requests", c.sender[id], reachedAt, poisonBound, now) {
+	if !reached || now.Sub(reachedAt) <= poisonBound || !c.mustHaveApplied("sends of poison requests", c.sender[id], reachedAt, poisonBound, now) {
 		return
 	}
 	c.lateSends[path]++
@@ -346,14 +350,15 @@
 	}
 }
 
-// RecordLeaving records that a server's entry says that it is leaving, or no longer is an entry of a server.
+// RecordLeaving records that a server's entry in the store says that it is leaving, or was overwritten with a
+// foreign value.
 func (c *checker) RecordLeaving(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leftAt[server] = time.Now()
 }
 
-// RecordReturn records that a server's entry is valid again.
+// RecordReturn records that a server's entry in the store is valid again.
 func (c *checker) RecordReturn(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -18,59 +18,59 @@
 		trigger func(c *checker)
 	}{
 		{"a request that nobody sent", ".*nobody sent", func(c *checker) { c.Arrived("s", "x") }},
-		{"a charge twice", ".*ran again.*", func(c *checker) {
+		{"a charge runs twice", ".*ran again.*", func(c *checker) {
 			c.RecordSend("x", "127.0.0.1:1", true)
 			c.Started("s", "x")
 			c.Started("s", "x")
 		}},
-		{"run after a refusal", ".*after it had been refused.*", func(c *checker) {
+		{"a request runs after its refusal", ".*after it had been refused.*", func(c *checker) {
 			c.RecordSend("x", "127.0.0.1:1", false)
 			c.RecordOutcome(outcome{ID: "x", Status: 503})
 			c.Started("s", "x")
 		}},
-		{"refused after a run", ".*but has run", func(c *checker) {
+		{"a request is refused after it ran", ".*but has run", func(c *checker) {
 			c.RecordSend("x", "127.0.0.1:1", false)
 			c.Started("s", "x")
 			c.RecordOutcome(outcome{ID: "x", Status: 429})
 		}},
-		{"a foreign answer", ".*not its own whole answer.*", func(c *checker) {
+		{"an answer to another request", ".*not its own whole answer.*", func(c *checker) {
 			c.RecordOutcome(outcome{ID: "x", Status: 200, Complete: true})
 		}},
-		{"a torn answer", ".*not its own whole answer.*", func(c *checker) {
+		{"an incomplete answer", ".*not its own whole answer.*", func(c *checker) {
 			c.RecordOutcome(outcome{ID: "x", Status: 200, Matches: true})
 		}},
-		{"cut in quiet", ".*was cut.*", func(c *checker) {
+		{"a request is cut without a fault", ".*was cut.*", func(c *checker) {
 			c.Started("s", "x")
 			c.RecordOutcome(outcome{ID: "x", Sent: true, Start: time.Now(), End: time.Now()})
 		}},
-		{"work for a server that left", ".*after it left", func(c *checker) {
+		{"a request to a server that left", ".*after it left", func(c *checker) {
 			c.RecordSend("x", "127.0.0.1:1", false)
 			c.leftAt["s"] = time.Now().Add(-time.Minute)
 			c.Arrived("s", "x")
 		}},
-		{"a key shown to a server", ".*key shown: true", func(c *checker) {
+		{"a server receives a key", ".*key shown: true", func(c *checker) {
 			c.RecordAccount("x", sentAccount{name: "account-0"})
 			c.AccountSeen("s", "x", "account-0", true)
 		}},
-		{"another account at a server", ".*as of account.*", func(c *checker) {
+		{"a server receives another account", ".*as of account.*", func(c *checker) {
 			c.RecordAccount("x", sentAccount{name: "account-0"})
 			c.AccountSeen("s", "x", "forged", false)
 		}},
-		{"a key that was taken away", ".*revoked more than.*", func(c *checker) {
+		{"a request with a revoked key runs", ".*revoked more than.*", func(c *checker) {
 			c.RecordAccount("x", sentAccount{name: "account-0", revoked: true})
 			c.AccountSeen("s", "x", "account-0", false)
 		}},
-		{"a lasting key told unknown", ".*its key is unknown", func(c *checker) {
+		{"the key of a permanent account is refused", ".*its key were unknown", func(c *checker) {
 			c.RecordAccount("x", sentAccount{name: "account-0"})
 			c.RecordOutcome(outcome{ID: "x", Status: 401})
 		}},
-		{"work for a drained failure domain", ".*was drained", func(c *checker) {
+		{"a request to a drained failure domain", ".*was drained", func(c *checker) {
 			c.RecordSend("x", "127.0.0.1:1", false)
 			c.SetFailureDomain("s", "d")
 			c.drainedAt["d"] = time.Now().Add(-time.Minute)
 			c.Arrived("s", "x")
 		}},
-		{"a deadly request goes on", ".*that had crashed 3 servers.*", func(c *checker) {
+		{"a poison request is not quarantined", ".*that had crashed 3 servers.*", func(c *checker) {
 			for range 3 {
 				c.RecordCrash("/d")
 			}
@@ -82,7 +82,7 @@
 				c.Arrived("s", id)
 			}
 		}},
-		{"too much for a cold server", ".*request 7 in 1s", func(c *checker) {
+		{"too many requests to a cold server", ".*request 7 in 1s", func(c *checker) {
 			c.RecordServerStart("s")
 			for i := range 7 {
 				id := fmt.Sprint(i)
@@ -98,23 +98,23 @@
 				c.Arrived("s", "0")
 			}
 		}},
-		{"work after an answer that leaves", ".*after its answer that it is leaving", func(c *checker) {
+		{"a request after an answer that announces leaving", ".*after its answer that it is leaving", func(c *checker) {
 			c.backpressure.leaving[link{"s", ""}] = time.Now().Add(-3 * time.Second)
 			c.RecordSend("x", "127.0.0.1:1", false)
 			c.Arrived("s", "x")
 		}},
-		{"work in a backoff", ".*request 3 in a backoff.*", func(c *checker) {
+		{"too many requests in a backoff", ".*request 3 in a backoff.*", func(c *checker) {
 			for i := range 3 {
 				id := fmt.Sprint(i)
 				c.RecordSend(id, "127.0.0.1:1", false)
 				c.BackpressureSent("s", id, lovageyard.Backpressure{Backoff: time.Minute})
-				r := c.backpressure.backoffs[link{"s", ""}]
-				r.requestedAt = time.Now().Add(-2 * time.Second)
-				c.backpressure.backoffs[link{"s", ""}] = r
+				b := c.backpressure.backoffs[link{"s", ""}]
+				b.requestedAt = time.Now().Add(-2 * time.Second)
+				c.backpressure.backoffs[link{"s", ""}] = b
 				c.Arrived("s", id)
 			}
 		}},
-		{"work beyond a limit", ".*announced a limit of 0.5.* request 9 in 4s", func(c *checker) {
+		{"too many requests for a rate limit", ".*announced a limit of 0.5.* request 9 in 4s", func(c *checker) {
 			for i := range 9 {
 				id := fmt.Sprint(i)
 				c.RecordSend(id, "127.0.0.1:1", false)
@@ -132,7 +132,7 @@
 		{"a configuration that is not applied", ".*does not apply.*", func(c *checker) {
 			c.RecordProbe("entry/1", 5, 404, time.Now().Add(-time.Minute))
 		}},
-		{"no recovery", ".*only 1 of 10.*", func(c *checker) { c.CheckRecovery(1, 10) }},
+		{"no recovery after the faults", ".*only 1 of 10.*", func(c *checker) { c.CheckRecovery(1, 10) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -159,7 +159,7 @@
 		violations int
 	}{
 		{"entry-1", -1, 1, 0}, {"entry-2", -1, 1, 3}, {affectsStore, -1, 1, 3}, {affectsServers, -1, 1, 3},
-		// The server left and the version was accepted a minute before.
+		// The server left, and the version was accepted, a minute before now.
 		{"entry-1", -61, -58, 3}, {"entry-1", -61, -2, 0}, {"entry-2", -61, -2, 3}, {affectsStore, -61, -58, 3}, {affectsStore, -61, -2, 1},
 		{affectsStore, -40, -2, 3},
 	} {
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// makeCrashable makes a server crash on poison requests; a replacement is started each time.
+// makeCrashable makes a server crash on poison requests; a replacement starts after each crash.
 func (d *deployment) makeCrashable(b *backend) {
 	b.SetCrashPrefix(poisonPrefix, func(path string) {
 		d.check.RecordCrash(path)
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -14,8 +14,8 @@
 	"lovageyard.example/lovageyard/platform/fake"
 )
 
-// startFault starts one fault in the background, which is undone after its duration, and records what it
-// affects and for how long.
+// startFault injects one fault in the background for its duration, and records what it affects and for how
+// long.
 func (d *deployment) startFault(f fault) {
 	start := time.Now()
 	target := d.affectedBy(f)
@@ -135,7 +135,7 @@
 	default:
 		return err
 	}
-	if startErr := i.start(d.seeds()); startErr != nil {
+	if startErr := i.start(d.joinAddresses()); startErr != nil {
 		return startErr
 	}
 	d.check.RegisterInstance(i.endpoints().caller, i.name)
@@ -189,18 +189,18 @@
 	return errors.Wrap(proxy.Start(), "proxy")
 }
 
-// crash stops a server without notice. Its entry is removed after the lapse, and a replacement starts.
-func (d *deployment) crash(b *backend, lapse time.Duration) error {
+// crash stops a server without notice. After removeAfter its entry is removed and a replacement starts.
+func (d *deployment) crash(b *backend, removeAfter time.Duration) error {
 	d.mu.Lock()
-	if b.removed {
+	if b.unavailable {
 		d.mu.Unlock()
 		return nil
 	}
-	b.removed = true
+	b.unavailable = true
 	d.mu.Unlock()
 	b.proxy.Stop()
 	b.Close()
-	time.Sleep(lapse)
+	time.Sleep(removeAfter)
 	d.store.RemoveServer(b.Name)
 	return d.addServer(b.FailureDomain)
 }
@@ -213,11 +213,11 @@
 // overwriteEntry overwrites a server's entry with a foreign value, then restores it.
 func (d *deployment) overwriteEntry(b *backend, duration time.Duration) error {
 	d.mu.Lock()
-	if b.removed {
+	if b.unavailable {
 		d.mu.Unlock()
 		return nil
 	}
-	b.removed = true
+	b.unavailable = true
 	d.mu.Unlock()
 	d.store.Put("servers", b.Name, foreignEntries[len(b.Name+b.Address)%len(foreignEntries)])
 	d.check.RecordLeaving(b.Name)
@@ -226,18 +226,18 @@
 	defer d.mu.Unlock()
 	d.check.RecordReturn(b.Name)
 	d.store.PutServer(b.BackendServer)
-	b.removed = false
+	b.unavailable = false
 	return nil
 }
 
 // restartServer stops a server and starts it again under the same name at another address.
 func (d *deployment) restartServer(b *backend) error {
 	d.mu.Lock()
-	if b.removed {
+	if b.unavailable {
 		d.mu.Unlock()
 		return nil
 	}
-	b.removed = true
+	b.unavailable = true
 	d.mu.Unlock()
 	b.Close()
 	time.Sleep(restartDelay)
@@ -258,7 +258,7 @@
 	server.Address = proxy.Listen
 	d.check.RecordServerStart(b.Name)
 	d.store.PutServer(server.BackendServer)
-	b.Server, b.proxy, b.removed = server, proxy, false
+	b.Server, b.proxy, b.unavailable = server, proxy, false
 	d.makeCrashable(b)
 	return nil
 }
@@ -267,11 +267,11 @@
 // to serve for serverLeaveTime, and is then removed.
 func (d *deployment) replaceServer(b *backend) error {
 	d.mu.Lock()
-	if b.removed {
+	if b.unavailable {
 		d.mu.Unlock()
 		return nil
 	}
-	b.removed = true
+	b.unavailable = true
 	d.mu.Unlock()
 	if err := d.addServer(b.FailureDomain); err != nil {
 		return err
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -47,7 +47,7 @@
 	replaceVersions kind = "replace-versions"
 )
 
-// faultKinds disturb the system; plannedKinds are routine operations, which must cause no errors.
+// faultKinds disturb the system; plannedKinds are routine operations, during which no request may be cut.
 var (
 	faultKinds = []kind{
 		pauseInstance, killInstance, storeDown, storeHangs, storeSlow, storeLosesAnswers, storeDelaysWrites, storeDropsHistory, cutFromStore,
@@ -132,7 +132,7 @@
 	return plan
 }
 
-// isPlanned reports whether a kind is a planned operation, during which no request may be cut.
+// isPlanned reports whether a kind is a planned operation or backpressure, during which no request may be cut.
 func (k kind) isPlanned() bool {
 	return slices.Contains(plannedKinds, k) || slices.Contains([]kind{largeConfiguration, replaceVersions, limitServer, backOffServer, leaveInAnswers}, k)
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -19,7 +19,7 @@
 // startTimeout bounds the wait for the first line of an instance's output.
 const startTimeout = 30 * time.Second
 
-// exitTimeout bounds the wait for an instance that was sent SIGTERM; it normally leaves in 2 s.
+// exitTimeout bounds the wait for an instance that was sent SIGTERM; it normally exits within 2 s.
 const exitTimeout = 20 * time.Second
 
 // instance is one entry instance, over all its incarnations. Each start of its process is a new incarnation.
@@ -47,8 +47,9 @@
 	unexpectedExits []string
 }
 
-// start starts a new incarnation and waits until it has logged its addresses.
-func (i *instance) start(seeds []string) error {
+// start starts a new incarnation, which joins the others through joinAddresses, and waits until it has logged
+// its addresses.
+func (i *instance) start(joinAddresses []string) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.incarnation++
@@ -67,13 +68,13 @@
 	if i.accounts {
 		arguments = append(arguments, "--revoke-within", revokeBound.String(), "--apply-within", applyBound.String())
 	}
-	if len(seeds) > 0 {
-		arguments = append(arguments, "--peer-addresses", strings.Join(seeds, ","))
+	if len(joinAddresses) > 0 {
+		arguments = append(arguments, "--peer-addresses", strings.Join(joinAddresses, ","))
 	}
 	command := exec.Command(i.program, arguments...)
 	command.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME")}
 	command.Stderr = log
-	// The kernel kills the instance when the soak exits, also if that is killed itself.
+	// The kernel kills the instance when the soak exits, even if the soak is killed.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := command.StdoutPipe()
 	if err != nil {
@@ -95,8 +96,8 @@
 	}
 }
 
-// copyOutput reads the addresses from the first line of the output, then copies the output to the log until
-// the process exits. It records an exit that no fault caused.
+// copyOutput reads the addresses from the first line of the output and sends the result to started, then
+// copies the output to the log until the process exits. It records an exit that no fault caused.
 func (i *instance) copyOutput(command *exec.Cmd, out *bufio.Reader, log io.WriteCloser, started chan<- error, exited chan<- struct{}) {
 	defer log.Close()
 	line, err := out.ReadBytes('\n')
@@ -144,7 +145,7 @@
 	case <-time.After(exitTimeout):
 		i.signal(syscall.SIGKILL)
 		<-exited
-		return errors.Errorf("%s did not leave in %s", i.name, exitTimeout)
+		return errors.Errorf("%s did not exit in %s", i.name, exitTimeout)
 	}
 }
 
@@ -163,12 +164,12 @@
 	}
 }
 
-// build builds the daemon into a directory and returns its path.
+// build builds the daemon into a directory and returns the path of the program.
 func build(dir string) (string, error) {
 	return buildIn(filepath.Join("..", "lovageyardd"), filepath.Join(dir, "lovageyardd"))
 }
 
-// buildIn builds the program in a directory and returns its path.
+// buildIn builds the program whose source is in dir, writes it to path and returns path.
 func buildIn(dir, path string) (string, error) {
 	command := exec.Command("go", "build", "-buildvcs=false", "-o", path, ".")
 	command.Dir = dir
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -36,12 +36,13 @@
 	testSeeds(t, options{}, append(readSeeds(qt.New(t), "seeds.txt"), defaultSeed))
 }
 
-// Servers that restart under the same name, foreign entries, large configurations and narrow links.
+// Runs with servers that restart under the same name, foreign entries, large configurations and narrow links,
+// which once failed.
 func TestFurtherSeedsRunWithoutViolations(t *testing.T) {
 	testSeeds(t, options{Further: true}, readSeeds(qt.New(t), "seeds-further.txt"))
 }
 
-// Poison requests together with the faults of the base plan.
+// A run with poison requests together with the faults of the base plan.
 func TestPoisonSeedRunsWithoutViolations(t *testing.T) {
 	testSeeds(t, options{Deadly: true}, []uint64{defaultSeed})
 }
@@ -55,7 +56,8 @@
 	testSeeds(t, o, []uint64{7123})
 }
 
-// Servers that announce rate limits, ask for a backoff, or announce only in their answers that they leave.
+// A run with servers that announce rate limits, request a backoff, or announce only in their answers that they
+// are leaving.
 func TestBackpressureSeedRunsWithoutViolations(t *testing.T) {
 	testSeeds(t, options{Backpressure: true, Span: 12 * time.Second}, []uint64{3})
 }
--- a/soak/version.go
+++ b/soak/version.go
@@ -59,8 +59,8 @@
 	i.program, i.otherProgram = i.otherProgram, i.program
 }
 
-// versionPlan is a plan with the replacement of all instances and bursts of configuration changes, the first
-// of each burst large. It has no other faults, since faults of the older version are not under test.
+// versionPlan returns a plan with the replacement of all instances and with bursts of configuration changes.
+// The first change of each burst is large. There are no faults, since the older version is not under test.
 func versionPlan(seed uint64, span time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, versionStream))
 	plan := []fault{{At: time.Second, Kind: replaceVersions, Duration: span - time.Second}}
--- a/soak/yard.go
+++ b/soak/yard.go
@@ -29,7 +29,7 @@
 	// would send.
 	coldFor  = time.Second
 	coldRate = 2
-	// Limits in the instances' settings, so low that instances that ignore them would exceed them in every run.
+	// Limits in the instances' settings, so low that an instance which ignores them exceeds them in every run.
 	coldExcess = 1.5
 	coldSlack  = 3
 	retryRatio = 0.001
@@ -68,15 +68,16 @@
 	extraRoutes   int
 	acceptedAt    time.Time
 	harnessErrors []string
-	// withoutAccounts disables client accounts.
+	// withoutAccounts disables client accounts, which an older version of the daemon may not support.
 	withoutAccounts bool
 }
 
-// backend is a backend server behind its proxy. removed is set while it is down, leaving or not registered.
+// backend is a backend server behind its proxy. unavailable is set while it is down, leaving or not
+// registered.
 type backend struct {
 	*fake.Server
-	proxy   *toxiproxy.Proxy
-	removed bool
+	proxy       *toxiproxy.Proxy
+	unavailable bool
 	// hasBackpressure is set while the server signals backpressure in its answers.
 	hasBackpressure bool
 }
@@ -108,7 +109,7 @@
 		}
 		d.proxies[i.name] = proxy
 		d.instances = append(d.instances, i)
-		if err := i.start(d.seeds()); err != nil {
+		if err := i.start(d.joinAddresses()); err != nil {
 			return d, err
 		}
 		check.RegisterInstance(i.endpoints().caller, i.name)
@@ -124,8 +125,8 @@
 	return proxy, errors.Wrap(proxy.Start(), "proxy")
 }
 
-// seeds returns up to three peer addresses of started instances, through which a new one joins.
-func (d *deployment) seeds() []string {
+// joinAddresses returns up to three peer addresses of started instances, through which a new one joins.
+func (d *deployment) joinAddresses() []string {
 	var addresses []string
 	for _, i := range d.instances {
 		if p := i.endpoints(); p.peers != "" && len(addresses) < 3 {
@@ -164,7 +165,8 @@
 	d.acceptedAt = time.Now()
 }
 
-func (d *deployment) versions() (uint64, time.Time) {
+// currentVersion returns the newest version of the configuration and the time when the store accepted it.
+func (d *deployment) currentVersion() (uint64, time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version, d.acceptedAt
@@ -175,18 +177,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.serverCount++
-	described := lovageyard.BackendServer{
+	entry := lovageyard.BackendServer{
 		Name: fmt.Sprint("i-", d.serverCount), Service: service, FailureDomain: domain, Slots: serverSlots, State: lovageyard.StateLive,
 	}
 	if d.serverCount%2 == 0 {
 		// The other servers act as older programs, which don't report their incarnation.
-		described.Incarnation = time.Now().UnixMilli()
+		entry.Incarnation = time.Now().UnixMilli()
 	}
 	if len(d.instances) > 0 {
 		// An instance that starts now can learn only from the server's entry that it is cold.
-		described.ColdFor = lovageyard.Duration(coldFor)
+		entry.ColdFor = lovageyard.Duration(coldFor)
 	}
-	server, err := fake.StartServer(described, serverWork, d.check)
+	server, err := fake.StartServer(entry, serverWork, d.check)
 	if err != nil {
 		return err
 	}
@@ -206,12 +208,13 @@
 	return nil
 }
 
-// pickServer returns the server at or after a target's index that is not removed.
+// pickServer returns the first available server at or after a target's index, or the first of all if none is
+// available.
 func (d *deployment) pickServer(target int) *backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for n := range d.servers {
-		if b := d.servers[(target+n)%len(d.servers)]; !b.removed {
+		if b := d.servers[(target+n)%len(d.servers)]; !b.unavailable {
 			return b
 		}
 	}
