--- a/standin/backend.go
+++ b/standin/backend.go
@@ -20,7 +20,8 @@
 )
 
 // Behaviour of a server. The service time of the first coldRequests requests falls from coldFactor times the
-// mean to the mean.
+// mean to the mean. maxBytes is the largest body that can be requested, and meanWeight the weight of the
+// latest request in the moving average of service times.
 const (
 	queuePerSlot = 1
 	coldRequests = 50
@@ -41,8 +42,8 @@
 	Silent         bool    `json:"silent"`
 }
 
-// serverCounts holds a server's counters since its start, for checks by tests. Keys counts runs by
-// idempotency key.
+// serverCounts holds a server's counters since its start, for checks by tests. Shed counts the requests that
+// were refused because the queue was full, and Keys the runs by idempotency key.
 type serverCounts struct {
 	Requests    int            `json:"requests"`
 	Shed        int            `json:"shed"`
@@ -64,7 +65,7 @@
 	counts     serverCounts
 	running    int
 	queued     int
-	served     int
+	started    int
 	recentMean time.Duration
 }
 
@@ -78,7 +79,7 @@
 		mux:           http.NewServeMux(),
 		counts:        serverCounts{Keys: make(map[string]int)},
 	}
-	s.mux.HandleFunc("GET "+link.HealthPath, s.load)
+	s.mux.HandleFunc("GET "+link.HealthPath, s.showLoad)
 	s.mux.HandleFunc("PUT /standin/faults", s.setFaults)
 	s.mux.HandleFunc("GET /standin/counts", s.showCounts)
 	s.mux.HandleFunc("/", s.serveRequest)
@@ -106,7 +107,7 @@
 	encode(w, http.StatusOK, s.counts)
 }
 
-func (s *backendServer) load(w http.ResponseWriter, _ *http.Request) {
+func (s *backendServer) showLoad(w http.ResponseWriter, _ *http.Request) {
 	encode(w, http.StatusOK, s.report())
 }
 
@@ -128,8 +129,8 @@
 	return r
 }
 
-// serveRequest simulates one request: the network delay, the wait in the queue for a slot, the service time and
-// the answer.
+// serveRequest simulates one request: the network delays, the wait in the queue for a slot, the service time
+// and the answer.
 func (s *backendServer) serveRequest(w http.ResponseWriter, r *http.Request) {
 	if s.currentFaults().Silent {
 		<-r.Context().Done()
@@ -165,7 +166,7 @@
 }
 
 // isExpired reports whether it is too late to start the request, by the time that its sender has set, plus
-// charge.Skew for the difference of the clocks.
+// charge.MaxClockSkew for the difference of the clocks.
 func isExpired(r *http.Request) bool {
 	ms, err := strconv.ParseInt(r.Header.Get(lovageyard.SendBeforeHeader), 10, 64)
 	return err == nil && time.Now().After(time.UnixMilli(ms).Add(charge.MaxClockSkew))
@@ -245,10 +246,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	factor := 1.0
-	if s.served < coldRequests {
-		factor += (coldFactor - 1) * float64(coldRequests-s.served) / coldRequests
+	if s.started < coldRequests {
+		factor += (coldFactor - 1) * float64(coldRequests-s.started) / coldRequests
 	}
-	s.served++
+	s.started++
 	if s.faults.SlowBy > 0 {
 		factor *= s.faults.SlowBy
 	}
@@ -267,7 +268,8 @@
 	w.Header().Set(lovageyard.LoadHeader, string(report))
 }
 
-// answer sends a body of the size in the query parameter "bytes", and its hash in a header.
+// answer sends a body of the size in the query parameter "bytes", or of one line if that is longer, and its hash
+// in a header.
 func (s *backendServer) answer(w http.ResponseWriter, r *http.Request) {
 	size, err := strconv.Atoi(r.URL.Query().Get("bytes"))
 	if err != nil || size < 0 || size > maxBytes {
--- a/standin/main.go
+++ b/standin/main.go
@@ -26,7 +26,7 @@
 	parsed.FatalIfErrorf(parsed.Run())
 }
 
-// announce prints one line of JSON with the addresses that the program listens at.
+// announce prints the addresses that the program listens at as one line of JSON.
 func announce(value any) error {
 	return errors.Wrap(json.NewEncoder(os.Stdout).Encode(value), "announce")
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -20,7 +20,7 @@
 	Address string `default:"127.0.0.1:0" help:"Address to listen at, host:port."`
 }
 
-// platformReady is the line that the platform announces itself with.
+// platformReady is the line of output that announces the platform's address.
 type platformReady struct {
 	Address string `json:"address"`
 }
--- a/standin/servers.go
+++ b/standin/servers.go
@@ -29,7 +29,7 @@
 	Platform      string        `help:"Address of the stand-in platform to register at."`
 }
 
-// group is a number of equal servers of one service.
+// group describes a number of equal servers of one service. mean is their mean service time.
 type group struct {
 	service     string
 	count       int
