--- a/lovageyard-load/client.go
+++ b/lovageyard-load/client.go
@@ -21,16 +21,17 @@
 	"lovageyard.example/lovageyard/caller"
 )
 
-// hashHeader carries the xxHash of the whole body.
+// hashHeader is the header in which servers send the xxHash of the whole body.
 const hashHeader = "Lovageyard-Content-Hash"
 
-// client is one simulated caller, with a source address of its own. It caches the answer of a look-up for
-// the time that the answer allows, and longer if the look-up can't be repeated.
+// client is one simulated caller, with a source address of its own. It caches the answer to a look-up for
+// the time that the answer allows, and longer while new look-ups fail.
 type client struct {
 	address netip.Addr
 	network string
 	http    *http.Client
-	seeds   []string
+	// lookUpAddresses are the configured addresses for look-ups.
+	lookUpAddresses []string
 
 	mu     sync.Mutex
 	cached map[string]cachedLookUp
@@ -41,15 +42,15 @@
 	expires time.Time
 }
 
-func newClient(address netip.Addr, network string, seeds []string, timeout time.Duration) *client {
+func newClient(address netip.Addr, network string, lookUpAddresses []string, timeout time.Duration) *client {
 	dialer := &net.Dialer{
 		Timeout:   timeout,
 		LocalAddr: &net.TCPAddr{IP: address.AsSlice()},
 	}
 	return &client{
-		address: address,
-		network: network,
-		seeds:   seeds,
+		address:         address,
+		network:         network,
+		lookUpAddresses: lookUpAddresses,
 		http: &http.Client{
 			Timeout:   timeout,
 			Transport: &http.Transport{DialContext: dialer.DialContext, IdleConnTimeout: time.Minute},
@@ -85,16 +86,16 @@
 	return addresses, nil
 }
 
-// lookUp sends a look-up to the instances of the last answer, then to the seeds, until one answers. Clients
-// start at different seeds.
+// lookUp sends a look-up to the instances of the last answer, then to lookUpAddresses, until one answers.
+// Clients start at different ones of lookUpAddresses, so that their look-ups spread.
 func (c *client) lookUp(ctx context.Context, class string, last caller.LookUp) (caller.LookUp, error) {
 	var addresses []string
 	for _, i := range last.Instances {
 		addresses = append(addresses, i.Address)
 	}
 	start := int(c.address.As4()[2])
-	for i := range c.seeds {
-		addresses = append(addresses, c.seeds[(start+i)%len(c.seeds)])
+	for i := range c.lookUpAddresses {
+		addresses = append(addresses, c.lookUpAddresses[(start+i)%len(c.lookUpAddresses)])
 	}
 	var failure error
 	for _, address := range addresses {
--- a/lovageyard-load/load.go
+++ b/lovageyard-load/load.go
@@ -26,7 +26,7 @@
 	categoryNoLookUp     category = "no-look-up"
 )
 
-// outcome is the outcome of one request.
+// outcome is the result of one request as its client saw it.
 type outcome struct {
 	category category
 	status   int
@@ -41,23 +41,25 @@
 	significantDigits = 3
 )
 
-// maxInFlight is the maximum number of requests in flight; those that are due beyond it count as cut.
+// maxInFlight is the maximum number of requests in flight; further ones that come due are not sent and count
+// as cut.
 const maxInFlight = 20000
 
 // tally holds the counters of one class. It is safe for concurrent use.
 type tally struct {
-	mu         sync.Mutex
-	sent       int64
-	categories map[category]int64
-	statuses   map[int]int64
-	verdicts   map[lovageyard.Verdict]int64
-	latency    *hdrhistogram.Histogram
-	arrivals   []arrival
+	mu          sync.Mutex
+	sent        int64
+	categories  map[category]int64
+	statuses    map[int]int64
+	verdicts    map[lovageyard.Verdict]int64
+	latency     *hdrhistogram.Histogram
+	completions []completion
 }
 
-// arrival records the site that served one complete answer, and the network of its client.
-type arrival struct {
-	at      time.Time
+// completion records when a request with a complete answer was due, the network of its client and the site
+// that served it.
+type completion struct {
+	dueAt   time.Time
 	network string
 	site    string
 }
@@ -83,7 +85,7 @@
 	}
 	if o.category == categoryComplete {
 		_ = t.latency.RecordValue(max(lowestLatency, min(highestLatency, took.Microseconds())))
-		t.arrivals = append(t.arrivals, arrival{at: due, network: network, site: o.site})
+		t.completions = append(t.completions, completion{dueAt: due, network: network, site: o.site})
 	}
 }
 
@@ -131,15 +133,16 @@
 		sending.Go(func() { l.sendStream(sendingContext, start, s, uint64(i)) })
 	}
 	if isTerminal(os.Stderr) {
-		go l.progress(sendingContext)
+		go l.printProgress(sendingContext)
 	}
 	sending.Wait()
 	return l.results()
 }
 
-// sendStream starts each request at its due time, independently of the answers to earlier ones.
-func (l *load) sendStream(ctx context.Context, due time.Time, s stream, order uint64) {
-	random := rand.New(rand.NewPCG(l.options.Seed, order))
+// sendStream starts each request of a stream at its due time, independently of the answers to earlier ones.
+// randomStream selects the sequence of random numbers.
+func (l *load) sendStream(ctx context.Context, due time.Time, s stream, randomStream uint64) {
+	random := rand.New(rand.NewPCG(l.options.Seed, randomStream))
 	t := l.tallies[s.class]
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -155,12 +158,13 @@
 		if !l.admit(t) {
 			continue
 		}
-		at := due
-		requests.Go(func() { l.sendOne(c, s, t, number, at) })
+		requestDue := due
+		requests.Go(func() { l.sendOne(c, s, t, number, requestDue) })
 	}
 }
 
-// interval returns the time between two requests of a stream: the mean, or an exponentially distributed one.
+// interval returns the time between two requests of a stream: the mean, or a random time that is exponentially
+// distributed around it.
 func (l *load) interval(s stream, random *rand.Rand) time.Duration {
 	mean := float64(time.Second) / s.rate
 	if l.options.Arrivals == "fixed" {
@@ -169,7 +173,8 @@
 	return time.Duration(random.ExpFloat64() * mean)
 }
 
-// admit counts a request and reports whether it may be sent without exceeding maxInFlight.
+// admit counts a request and reports whether it may be sent without exceeding maxInFlight. If not, it records
+// the request as cut.
 func (l *load) admit(t *tally) bool {
 	t.mu.Lock()
 	t.sent++
@@ -196,7 +201,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-func (l *load) progress(ctx context.Context) {
+func (l *load) printProgress(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
--- a/lovageyard-load/result.go
+++ b/lovageyard-load/result.go
@@ -71,7 +71,7 @@
 		P90Ms:    ms(t.latency.ValueAtQuantile(90)),
 		P99Ms:    ms(t.latency.ValueAtQuantile(99)),
 		MaxMs:    ms(t.latency.Max()),
-		Seconds:  countBySecond(t.arrivals),
+		Seconds:  countBySecond(t.completions),
 	}
 }
 
@@ -85,14 +85,14 @@
 	return out
 }
 
-func countBySecond(arrivals []arrival) []siteSecond {
+func countBySecond(completions []completion) []siteSecond {
 	seconds := make(map[int64]map[string]int64)
-	for _, a := range arrivals {
-		s := a.at.Unix()
+	for _, c := range completions {
+		s := c.dueAt.Unix()
 		if seconds[s] == nil {
 			seconds[s] = make(map[string]int64)
 		}
-		seconds[s][a.site]++
+		seconds[s][c.site]++
 	}
 	out := []siteSecond{}
 	for s, sites := range seconds {
