--- a/demo/account.go
+++ b/demo/account.go
@@ -33,7 +33,8 @@
 	Sites      []count `json:"sites"`
 }
 
-// printSummary prints the results of the run, and fails if a request was cut.
+// printSummary prints the results of the run, and fails if a request was cut: if it got neither a complete
+// answer nor a refusal.
 func (d *demo) printSummary(file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -47,10 +48,10 @@
 	fmt.Fprintln(w, "CLASS\tSENT\tWHOLE\tREFUSED BY VERDICT\tP50 MS\tP99 MS\tMOST MOVED\tCAP\tDRAINED IN\tCUT")
 	cut := int64(0)
 	for _, r := range results {
-		lost := countOf(r.Causes, "cut") + countOf(r.Causes, "broken") + countOf(r.Causes, "no-connection") + countOf(r.Causes, "no-look-up")
-		cut += lost
+		classCut := countOf(r.Causes, "cut") + countOf(r.Causes, "broken") + countOf(r.Causes, "no-connection") + countOf(r.Causes, "no-look-up")
+		cut += classCut
 		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.1f\t%.1f\t%.1f%%\t%.0f%%\t%s\t%d\n", r.Class, r.Sent, r.Whole, formatCounts(r.Verdicts),
-			r.P50Ms, r.P99Ms, 100*maxShareMoved(r.Seconds), 100*moveCap, d.drainTime(r), lost)
+			r.P50Ms, r.P99Ms, 100*maxShareMoved(r.Seconds), 100*moveCap, d.drainTime(r), classCut)
 	}
 	w.Flush()
 	minimum := time.Duration(1/moveCap) * moveInterval
@@ -82,7 +83,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// drainTime returns the time from the start of the drain to the last request at the drained site.
+// drainTime returns the time from the start of the drain to the last request at the drained site, or "not
+// drained" if the site got requests until the end of the run.
 func (d *demo) drainTime(r classResult) string {
 	last := int64(0)
 	for _, s := range r.Seconds {
@@ -97,7 +99,7 @@
 }
 
 // maxShareMoved estimates the largest share of work that moved in one interval. For each window of one
-// interval it adds up the requests that sites got beyond their share in the seconds before.
+// interval it adds up the requests that sites got beyond their share in the half interval before.
 func maxShareMoved(seconds []second) float64 {
 	const window = int(moveInterval / time.Second)
 	largest := 0.0
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -24,7 +24,8 @@
 	bytes       int
 }
 
-// deployment describes the size of a deployment, modelled on one of the users of the system.
+// deployment describes the sizes of a deployment and the delays of its network. landavgift and sanad are
+// modelled on users of the system.
 type deployment struct {
 	name        string
 	regions     []string
@@ -97,11 +98,12 @@
 	return names
 }
 
+// regionOf returns the region of the failure domain at a position in domains.
 func (d deployment) regionOf(position int) string {
 	return d.regions[position/domainsPerRegion]
 }
 
-// serversIn returns the number of a service's servers in a failure domain.
+// serversIn returns the number of a service's servers in the failure domain at a position in domains.
 func (d deployment) serversIn(s service, position int) int {
 	domains := len(d.domains())
 	count := s.servers / domains
@@ -123,7 +125,7 @@
 	}
 }
 
-// network returns the loopback network of the clients next to a failure domain.
+// network returns the loopback network of the clients next to the failure domain at a position in domains.
 func network(position int) string {
 	const first = 10
 	return fmt.Sprintf("127.%d.0.0/16", first+position)
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -16,7 +16,8 @@
 	"lovageyard.example/lovageyard/operator"
 )
 
-// Parameters of the fleet's measurements, and of the files in /proc that they read.
+// Parameters of the fleet's measurements, and of the files in /proc that they read. statUserTimeField and
+// statSystemTimeField are indexes into the fields of /proc/PID/stat that follow the program's name.
 const (
 	fleetChanges        = 30
 	fleetChangePause    = 500 * time.Millisecond
@@ -50,10 +51,10 @@
 func (d *demo) measureFleet(ctx context.Context) error {
 	fmt.Printf("fleet: %d entry instances, %d failure domains\n", len(d.entries), len(d.deployment.domains()))
 	var times []time.Duration
-	k := d.deployment.services[0].lovageyardClass()
+	class := d.deployment.services[0].lovageyardClass()
 	for n := range fleetChanges {
-		k.Importance = n % 10
-		duration, err := d.change(ctx, k)
+		class.Importance = n % 10
+		duration, err := d.measureChange(ctx, class)
 		if err != nil {
 			return err
 		}
@@ -66,13 +67,13 @@
 	return d.measureIdle()
 }
 
-// change writes a class and returns the time from its acceptance until it is in force at every instance.
-func (d *demo) change(ctx context.Context, k lovageyard.Class) (time.Duration, error) {
-	known, err := d.operator.Class(ctx, k.Name)
+// measureChange writes a class and returns the time from its acceptance until it is in force at every instance.
+func (d *demo) measureChange(ctx context.Context, class lovageyard.Class) (time.Duration, error) {
+	known, err := d.operator.Class(ctx, class.Name)
 	if err != nil {
 		return 0, errors.Wrap(err, "change")
 	}
-	accepted, err := d.operator.PutClass(ctx, k, known.Version)
+	accepted, err := d.operator.PutClass(ctx, class, known.Version)
 	if err != nil {
 		return 0, errors.Wrap(err, "change")
 	}
--- a/demo/start.go
+++ b/demo/start.go
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// waitReady waits until every entry instance has the table of blocks, knows all others and has placed every
-// class.
+// waitReady waits until every entry instance has the table of blocks, knows all others and has a placement for
+// every class.
 func (d *demo) waitReady(ctx context.Context) error {
 	timeoutCtx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
