--- a/integration/accounts_test.go
+++ b/integration/accounts_test.go
@@ -20,16 +20,16 @@
 	keyedPath    = "/keyed/x"
 )
 
-// callerRecorder counts the requests that a server receives by client account, and those that carry a key.
-type callerRecorder struct {
-	observer
+// accountRecorder counts the requests that a server receives by client account, and those that carry a key.
+type accountRecorder struct {
+	nopObserver
 	mu       sync.Mutex
 	accounts map[string]int
 	keys     int
 }
 
-// AccountSeen records one request that reached the server.
-func (r *callerRecorder) AccountSeen(_, _, account string, showsKey bool) {
+// AccountSeen counts one request that reached the server by its account, and whether it carried a key.
+func (r *accountRecorder) AccountSeen(_, _, account string, showsKey bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.accounts[account]++
@@ -38,7 +38,7 @@
 	}
 }
 
-// configureAccounts writes a configuration with one route that requires the key of one of the accounts.
+// configureAccounts writes a configuration whose only route requires a key of one of the accounts.
 func (e *edge) configureAccounts(version uint64, accounts ...lovageyard.Account) {
 	e.store.PutConfiguration(lovageyard.Configuration{
 		Version: version,
@@ -70,10 +70,11 @@
 	return response.StatusCode
 }
 
-// newAccountEdge returns an instance with the accounts a and b, and the recorder of its backend server.
-func newAccountEdge(t *testing.T) (*edge, *callerRecorder) {
+// newAccountEdge returns an instance whose configuration has the accounts a and b, and the recorder of its backend
+// server.
+func newAccountEdge(t *testing.T) (*edge, *accountRecorder) {
 	e := newEdge(t)
-	recorder := &callerRecorder{accounts: make(map[string]int)}
+	recorder := &accountRecorder{accounts: make(map[string]int)}
 	server, err := fake.StartServer(lovageyard.BackendServer{
 		Name: "server-keyed", Service: keyedService, FailureDomain: "north-1", Region: "north", Slots: 50, State: lovageyard.StateLive,
 	}, time.Millisecond, recorder)
@@ -108,7 +109,7 @@
 	e.configureAccounts(3, lovageyard.Account{Name: "b"})
 	e.until("keys to be refused", func() bool { return e.requestAs("a", "second") == http.StatusServiceUnavailable })
 	recorder.mu.Lock()
-	ran := recorder.accounts["a"]
+	ranBefore := recorder.accounts["a"]
 	recorder.mu.Unlock()
 	for n := range 20 {
 		for _, account := range []string{"a", "b"} {
@@ -120,7 +121,7 @@
 	e.c.Assert(e.requestAs("a", "fourth"), qt.Equals, http.StatusUnauthorized)
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	e.c.Assert(recorder.accounts["a"], qt.Equals, ran)
+	e.c.Assert(recorder.accounts["a"], qt.Equals, ranBefore)
 }
 
 // A client account must not exceed its rate limit, and requests beyond it must be answered with 429.
@@ -142,7 +143,7 @@
 	e.c.Assert(float64(recorder.requestCount("a")-before) <= allowed, qt.IsTrue, qt.Commentf("%d ran, %.0f allowed", recorder.requestCount("a")-before, allowed))
 }
 
-func (r *callerRecorder) requestCount(account string) int {
+func (r *accountRecorder) requestCount(account string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accounts[account]
--- a/integration/backpressure_test.go
+++ b/integration/backpressure_test.go
@@ -28,7 +28,7 @@
 
 func (a *arrivalRecorder) Started(string, string) {}
 
-// since returns the arrivals at a server at or after a time.
+// since returns the times of the requests that reached a server at or after a time.
 func (a *arrivalRecorder) since(server string, from time.Time) []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -109,19 +109,19 @@
 	return largest
 }
 
-// waitForSignal sends requests to each instance until one has reached the server. The answer then carries
-// the server's limit, backoff or drain to the instance.
+// waitForSignal sends requests to each instance until one has reached the server, whose answer carries its
+// limit, its backoff or that it is leaving.
 func (f *backpressureFleet) waitForSignal(server *fake.Server) {
 	for n, instance := range f.instances {
 		start := time.Now()
-		f.until("each instance to be notified", func() bool {
+		f.until("the server to answer a request of each instance", func() bool {
 			instance.request(http.MethodGet, crashablePrefix+"look", fmt.Sprint("told-", n, "-", time.Now().UnixNano()), "")
 			return len(f.arrivals.since(server.Name, start)) > 0
 		})
 	}
 }
 
-// waitUntilServing sends load until a server gets many requests again.
+// waitUntilServing sends load until a server has received more than 20 requests.
 func (f *backpressureFleet) waitUntilServing(server *fake.Server) {
 	start := time.Now()
 	f.until("the server to get work again", func() bool {
@@ -130,8 +130,8 @@
 	})
 }
 
-// A server that announces a rate limit must not get more than that from all instances together, once each
-// instance has received the limit. The other servers must serve the remaining requests.
+// Once each instance has received a server's rate limit, the server must not get more than the limit and a
+// margin from all instances together. The other server must serve the remaining requests.
 func TestRateLimitOfServerIsRespected(t *testing.T) {
 	t.Parallel()
 	const limit, window = 1.0, 4 * time.Second
@@ -151,25 +151,25 @@
 	f.waitUntilServing(limited)
 }
 
-// A server that announces in its answers that it is leaving must get no new work shortly afterwards, even
-// while the platform still lists it as ready.
-func TestServerLeavingByItsAnswersGetsNoRequests(t *testing.T) {
+// A server that announces in its answers that it is leaving must get no requests later than leaveBound after
+// that, even while the platform still lists it as live.
+func TestServerThatAnnouncesLeavingInAnswersGetsNoRequests(t *testing.T) {
 	t.Parallel()
-	const drain = 2 * time.Second
+	const leaveBound = 2 * time.Second
 	f := newBackpressureFleet(t, 2, time.Millisecond)
 	leaving := f.servers[0]
 	leaving.Leave()
 	f.waitForSignal(leaving)
 	notified := time.Now()
-	statuses := f.load(2 * drain)
-	late := f.arrivals.since(leaving.Name, notified.Add(drain))
+	statuses := f.load(2 * leaveBound)
+	late := f.arrivals.since(leaving.Name, notified.Add(leaveBound))
 	f.c.Check(len(late), qt.Equals, 0, qt.Commentf("%d requests reached the server", len(late)))
 	f.c.Check(statuses[http.StatusOK] > 0, qt.IsTrue)
 	f.c.Check(statuses, qt.HasLen, 1, qt.Commentf("%v", statuses))
 }
 
-// A server that rejects requests and asks for a backoff must get no requests until the backoff has expired,
-// and get them again afterwards.
+// A server that rejects requests and announces a backoff may get at most allowedPerInstance requests from each
+// instance until the backoff has expired, and must get them again afterwards.
 func TestBackoffOfServerIsRespected(t *testing.T) {
 	t.Parallel()
 	const backoff, allowedPerInstance = 8 * time.Second, 2
--- a/integration/charge_test.go
+++ b/integration/charge_test.go
@@ -41,14 +41,14 @@
 	const attempts = 6
 	verdict := lovageyard.VerdictNotRun
 	for attempt := range attempts {
-		status, answered, err := cc.send(cc.deployment.entries[attempt%len(cc.deployment.entries)], key)
+		status, attemptVerdict, err := cc.send(cc.deployment.entries[attempt%len(cc.deployment.entries)], key)
 		if err == nil && status == http.StatusOK {
 			verdict = ""
 			break
 		}
-		// A verdict is about one attempt only: an attempt that may have run still may have after the next one
-		// is refused as not run.
-		if err != nil || answered != lovageyard.VerdictNotRun {
+		// A verdict is about one attempt only. If an earlier attempt may have run, a later one that is refused as
+		// not run does not change that.
+		if err != nil || attemptVerdict != lovageyard.VerdictNotRun {
 			verdict = lovageyard.VerdictMayHaveRun
 		}
 		time.Sleep(pollInterval)
@@ -90,7 +90,7 @@
 		{"instance killed", func(d *deployment) { d.daemons[0].signal(syscall.SIGKILL) }, func(*deployment) {}},
 		{"instance frozen", func(d *deployment) { d.daemons[0].signal(syscall.SIGSTOP) }, func(d *deployment) { d.daemons[0].signal(syscall.SIGCONT) }},
 		{"platform down", func(d *deployment) { d.setPlatformFaults(platformFaults{Down: true}) }, func(d *deployment) { d.setPlatformFaults(platformFaults{}) }},
-		{"platform's answers lost", func(d *deployment) { d.setPlatformFaults(platformFaults{LoseAnswers: true}) }, func(d *deployment) { d.setPlatformFaults(platformFaults{}) }},
+		{"answers of the platform lost", func(d *deployment) { d.setPlatformFaults(platformFaults{LoseAnswers: true}) }, func(d *deployment) { d.setPlatformFaults(platformFaults{}) }},
 		{"platform slow", func(d *deployment) {
 			d.setPlatformFaults(platformFaults{SlowBy: lovageyard.Duration(300 * time.Millisecond)})
 		},
--- a/integration/deployment_test.go
+++ b/integration/deployment_test.go
@@ -26,7 +26,7 @@
 // bin is the directory of the programs that TestMain builds.
 var bin string
 
-// Timeout and interval of polling; a wait returns as soon as its condition holds.
+// Timeout and interval of polling for a condition.
 const (
 	waitTimeout  = 60 * time.Second
 	pollInterval = 50 * time.Millisecond
@@ -176,7 +176,8 @@
 	return operator.NewClient([]string{e.OperatorAddress}).Status(context.Background())
 }
 
-// isPlaced reports whether an instance knows all instances and has a placement of at least so many classes.
+// isPlaced reports whether an instance knows all instances and has a placement for at least a number of
+// classes.
 func (d *deployment) isPlaced(e lovageyard.EntryInstance, classes int) bool {
 	status, err := d.status(e)
 	if err != nil || len(status.Moves) < classes || len(status.Instances) < len(d.entries) {
@@ -200,7 +201,7 @@
 	d.c.Fatalf("timed out waiting for %s", what)
 }
 
-// lookUp returns an entry instance's answer to a look-up for a class.
+// lookUp sends a look-up for a class to the entry instance at an address and returns the answer.
 func lookUp(address, class string) (caller.LookUp, error) {
 	var answer caller.LookUp
 	response, err := http.Get("http://" + address + "/look-up?class=" + class)
@@ -230,7 +231,7 @@
 	return t
 }
 
-// send is the loop of one sender. It ends if a look-up fails.
+// send is the loop of one sender. It ends when the traffic is stopped or a look-up fails.
 func (t *traffic) send(d *deployment, n int, class, method string) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 20 * time.Second}
 	defer client.CloseIdleConnections()
@@ -294,7 +295,7 @@
 	return sites
 }
 
-// stopAndCheck stops the traffic and fails the test if a request was cut or refused.
+// stopAndCheck stops the traffic and fails the test if a request had an error or a status other than 200.
 func (t *traffic) stopAndCheck(c *qt.C) {
 	close(t.stop)
 	t.senders.Wait()
--- a/integration/edge_test.go
+++ b/integration/edge_test.go
@@ -35,14 +35,15 @@
 	nonePrefix   = "/none/"
 )
 
-// longWork is the service time of the long service, longer than new requests are accepted during a stop.
+// longWork is the service time of the long service. It is longer than the time in which a stopping instance
+// accepts new requests.
 const longWork = 4 * time.Second
 
-// observer ignores the events of servers.
-type observer struct{}
+// nopObserver ignores the events of servers.
+type nopObserver struct{}
 
-func (observer) Arrived(string, string) {}
-func (observer) Started(string, string) {}
+func (nopObserver) Arrived(string, string) {}
+func (nopObserver) Started(string, string) {}
 
 // edge is an entry instance that runs as a process, with a fake store and backend servers.
 type edge struct {
@@ -56,7 +57,7 @@
 	output   *bufio.Reader
 	// settings is the path of the instance's settings file.
 	settings string
-	// leaveWithin is the time from the signal to stop until the platform kills the process.
+	// leaveWithin is the time from SIGTERM until the platform kills the process.
 	leaveWithin time.Duration
 	// extraArgs are additional arguments of the program.
 	extraArgs []string
@@ -127,14 +128,14 @@
 func (e *edge) addServer(service, name string, work time.Duration) {
 	server, err := fake.StartServer(lovageyard.BackendServer{
 		Name: name, Service: service, FailureDomain: "north-1", Region: "north", Slots: 50, State: lovageyard.StateLive,
-	}, work, observer{})
+	}, work, nopObserver{})
 	e.c.Assert(err, qt.IsNil)
 	e.c.Cleanup(server.Close)
 	e.servers = append(e.servers, server)
 	e.store.PutServer(server.BackendServer)
 }
 
-// start runs the program, reads its addresses from the line that logs the start, and waits until it is ready.
+// start runs the program, reads its addresses from the log line "started", and waits until it is ready.
 func (e *edge) start() {
 	loopback := "127.0.0.1:0"
 	e.command = exec.Command(filepath.Join(bin, "lovageyardd"), "edge",
@@ -208,7 +209,7 @@
 func TestLogExplainsEveryOutcome(t *testing.T) {
 	t.Parallel()
 	e := newEdge(t)
-	every := func(f fake.Faults) {
+	setAllFaults := func(f fake.Faults) {
 		for _, s := range e.servers {
 			s.SetFaults(f)
 		}
@@ -235,12 +236,12 @@
 		{"lost", fake.Faults{DropConnection: 1}, http.MethodGet, lookUpPrefix, "", 502, "repeated after"},
 	}
 	for i, test := range tests {
-		every(fake.Faults{})
+		setAllFaults(fake.Faults{})
 		e.until("servers to be used again", func() bool {
 			status, _ := e.request(http.MethodGet, lookUpPrefix, fmt.Sprint("before-", i), "")
 			return status == http.StatusOK
 		})
-		every(test.faults)
+		setAllFaults(test.faults)
 		status, body := e.request(test.method, test.path, test.id, test.body)
 		e.c.Check(status, qt.Equals, test.status, qt.Commentf("%s", test.id))
 		if status == http.StatusOK {
@@ -280,16 +281,16 @@
 	e.c.Assert(state.ExitCode(), qt.Equals, 0)
 }
 
-// A graceful stop must interrupt no request. Those in flight are answered, even if they outlast the time in
-// which new requests are accepted; of the new ones only those are accepted whose timeout ends in time.
+// A graceful stop must interrupt no request. Requests in flight are answered, even if they outlast the time in
+// which new ones are accepted. A new request is accepted only if its timeout ends before the process must exit.
 func TestStopInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
 	// New requests are accepted for half of this time, and the last one ends at 0.93 of it.
 	e := newEdgeWithLeaveTime(t, 6*time.Second)
-	status := make(chan int)
+	longStatus := make(chan int)
 	go func() {
 		got, _ := e.request(http.MethodPost, longPrefix, "in-flight", "b")
-		status <- got
+		longStatus <- got
 	}()
 	long := e.servers[len(e.servers)-1]
 	e.until("the request to reach the server", func() bool { return long.Running() > 0 })
@@ -301,7 +302,7 @@
 	})
 	got, _ := e.request(http.MethodGet, shortPrefix, "ends-in-time", "")
 	e.c.Assert(got, qt.Equals, http.StatusOK)
-	e.c.Assert(<-status, qt.Equals, http.StatusOK)
+	e.c.Assert(<-longStatus, qt.Equals, http.StatusOK)
 	_, err := io.Copy(io.Discard, e.output)
 	e.c.Assert(err, qt.IsNil)
 	e.c.Assert(e.command.Wait(), qt.IsNil)
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -101,12 +101,12 @@
 	reads.stopAndCheck(d.c)
 }
 
-// TestDeadInstanceLeavesLookUps kills an entry instance. The others must stop naming it in look-ups.
-func TestDeadInstanceLeavesLookUps(t *testing.T) {
+// TestKilledInstanceDisappearsFromLookUps kills an entry instance. The others must stop naming it in look-ups.
+func TestKilledInstanceDisappearsFromLookUps(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.daemons[1].signal(syscall.SIGKILL)
-	d.until("the dead instance to disappear from look-ups", func() bool {
+	d.until("the killed instance to disappear from look-ups", func() bool {
 		answer, err := lookUp(d.entries[0].CallerAddress, "lookups")
 		d.c.Assert(err, qt.IsNil)
 		for _, i := range answer.Instances {
@@ -118,8 +118,8 @@
 	})
 }
 
-// TestPlatformDown takes the platform down. Reads must be served as before, while operators' calls, which
-// read the platform, must fail.
+// TestPlatformDown makes the platform refuse all calls. Reads must be served as before, while an operator's call
+// that reads the platform must fail.
 func TestPlatformDown(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
@@ -141,36 +141,36 @@
 func TestCommandLine(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	good := filepath.Join(t.TempDir(), "class.json")
-	d.c.Assert(os.WriteFile(good, []byte(`{"name": "statements", "service": "desk", "idempotent": true, "deadline": "2s",
+	valid := filepath.Join(t.TempDir(), "class.json")
+	d.c.Assert(os.WriteFile(valid, []byte(`{"name": "statements", "service": "desk", "idempotent": true, "deadline": "2s",
 		"match": [{"path-prefix": "/statements/"}], "target": {"cap": 0.1, "interval": "30s"}}`), 0o600), qt.IsNil)
-	bad := filepath.Join(t.TempDir(), "bad.json")
-	d.c.Assert(os.WriteFile(bad, []byte(`{"name": "statements", "weight": 1}`), 0o600), qt.IsNil)
+	invalid := filepath.Join(t.TempDir(), "bad.json")
+	d.c.Assert(os.WriteFile(invalid, []byte(`{"name": "statements", "weight": 1}`), 0o600), qt.IsNil)
 	for _, test := range []struct {
 		name string
 		args []string
 		code int
 		out  string
 	}{
-		{"check", []string{"class", "check", good}, 0, "well-formed"},
-		{"check of a bad file", []string{"class", "check", bad}, 2, `unknown field "weight"`},
-		{"put", []string{"class", "put", good}, 0, "accepted as version"},
-		{"put under an old version", []string{"class", "put", good, "--version", "0"}, 3, "in force, at version"},
+		{"check", []string{"class", "check", valid}, 0, "well-formed"},
+		{"check of an invalid file", []string{"class", "check", invalid}, 2, `unknown field "weight"`},
+		{"put", []string{"class", "put", valid}, 0, "accepted as version"},
+		{"put with an old version", []string{"class", "put", valid, "--version", "0"}, 3, "in force, at version"},
 		{"show", []string{"class", "show", "statements"}, 0, `"interval": "30s"`},
-		{"show of none", []string{"class", "show", "none"}, 4, "does not exist"},
+		{"show of an unknown class", []string{"class", "show", "none"}, 4, "does not exist"},
 		{"list", []string{"class", "list"}, 0, "lookups"},
 		{"instances", []string{"instance", "list", "--output", "json"}, 0, `"instance": "north-2-entry-2"`},
 		{"explain", []string{"explain", "--class", "lookups", "--client", "192.0.2.1"}, 0, "north-1"},
 		{"status", []string{"status"}, 0, "TAKE WORK"},
 		{"moves", []string{"move", "list", "--all"}, 0, "lookups"},
-		{"drain with a bad time", []string{"site", "drain", "north-1", "--by", "soon"}, 2, "--by: a time such as"},
+		{"drain with an invalid time", []string{"site", "drain", "north-1", "--by", "soon"}, 2, "--by: a time such as"},
 		{"drain of an unknown site", []string{"site", "drain", "south-1"}, 4, "not on the platform's list"},
 		{"unknown flag", []string{"status", "--weight", "3"}, 2, "unknown flag --weight"},
-		{"nobody answers", []string{"status", "--operator-address", "127.0.0.1:1"}, 1, "no operator address answered"},
+		{"no instance answers", []string{"status", "--operator-address", "127.0.0.1:1"}, 1, "no operator address answered"},
 	} {
 		d.c.Run(test.name, func(c *qt.C) {
 			args := append([]string{"--operator-address", d.entries[0].OperatorAddress}, test.args...)
-			if test.name == "nobody answers" {
+			if test.name == "no instance answers" {
 				args = test.args
 			}
 			command := exec.Command(filepath.Join(bin, "lovageyard"), args...)
@@ -187,7 +187,7 @@
 // TestSettingsAreChecked starts the daemon with invalid settings. It must name the first invalid one on
 // standard error and exit with status 2.
 func TestSettingsAreChecked(t *testing.T) {
-	good := []string{"--instance", "one", "--failure-domain", "a", "--region", "r", "--platform-address", "127.0.0.1:1"}
+	valid := []string{"--instance", "one", "--failure-domain", "a", "--region", "r", "--platform-address", "127.0.0.1:1"}
 	for _, test := range []struct {
 		name string
 		args []string
@@ -195,11 +195,11 @@
 		out  string
 	}{
 		{"none", nil, "", "lovageyardd: --instance: a value is needed\n"},
-		{"address", append(good, "--caller-address", "here"), "", "lovageyardd: --caller-address: \"here\" is not of the form host:port\n"},
-		{"headroom", append(good, "--headroom", "2"), "", "lovageyardd: --headroom: 2 is not 0 to 0.9\n"},
-		{"delays", append(good, "--same-region-delay", "1s"), "", "lovageyardd: --same-region-delay: not above --other-region-delay\n"},
-		{"choice", append(good, "--choice", "best"), "", "lovageyardd: --choice: choice mode \"best\" is not known\n"},
-		{"environment", good, "LOVAGEYARD_KEEP_FOR=-1s", "lovageyardd: --keep-for: -1s is not above 0s and at most 1h0m0s\n"},
+		{"address", append(valid, "--caller-address", "here"), "", "lovageyardd: --caller-address: \"here\" is not of the form host:port\n"},
+		{"headroom", append(valid, "--headroom", "2"), "", "lovageyardd: --headroom: 2 is not 0 to 0.9\n"},
+		{"delays", append(valid, "--same-region-delay", "1s"), "", "lovageyardd: --same-region-delay: not above --other-region-delay\n"},
+		{"choice", append(valid, "--choice", "best"), "", "lovageyardd: --choice: choice mode \"best\" is not known\n"},
+		{"environment", valid, "LOVAGEYARD_KEEP_FOR=-1s", "lovageyardd: --keep-for: -1s is not above 0s and at most 1h0m0s\n"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/integration/poison_test.go
+++ b/integration/poison_test.go
@@ -16,16 +16,16 @@
 )
 
 // A poison request crashes each server that runs it. Once, a client repeated such a look-up at many
-// instances, each time with a new request identity. Each server crashed 49 to 161 ms after it began, together
-// with all requests that it ran concurrently. Instances evaluated each attempt on its own and exchanged no
-// reports, so that 22 servers of a service of 12 crashed in 6 s:
+// instances, each time with a new request identity. Each server crashed 49 to 161 ms after it had begun to run
+// the look-up, and all requests that it ran at that time failed. Instances evaluated each attempt on its own
+// and exchanged no reports, so that 22 servers of a service of 12 crashed in 6 s:
 //
 //	14.814 front-sv-hall-b-1 request repeated attempts=1 server=i-f62a87ce82 connect: connection refused
 //	15.114 front-sv-hall-b-1 request failed attempts=2 server=i-2cb8bcbceb status=502 EOF: the connection was closed before an answer
 //
 // Crashes are therefore attributed to a request's content instead of its identity, and reported between
 // instances. Requests that merely ran concurrently with the poison request failed at up to three servers.
-// They must not be quarantined: a request is a suspect for its own crashes, not for where it ran.
+// They must not be quarantined for crashes that they did not cause.
 
 const (
 	crashableService = "frail"
@@ -71,7 +71,7 @@
 	f.started++
 	server, err := fake.StartServer(lovageyard.BackendServer{
 		Name: fmt.Sprint("frail-", f.started), Service: crashableService, FailureDomain: "north-1", Region: "north", Slots: 50, State: lovageyard.StateLive,
-	}, crashableWork, observer{})
+	}, crashableWork, nopObserver{})
 	f.c.Assert(err, qt.IsNil)
 	f.c.Cleanup(server.Close)
 	server.SetCrashPrefix(crashablePrefix+"deadly", func(string) {
@@ -110,8 +110,8 @@
 	return response
 }
 
-// waitUntilServed sends a request until it is served: instances exclude servers that did not answer for
-// some time.
+// waitUntilServed repeats a request until it is served. It may be refused at first, since instances exclude a
+// server for some time after it gave no answer.
 func (f *crashableFleet) waitUntilServed(e *edge, path string) {
 	f.until(path+" to be served", func() bool { return f.send(e, path).StatusCode == http.StatusOK })
 }
@@ -140,8 +140,8 @@
 	f.c.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-// Requests that ran concurrently with a poison request, at each server that it crashed, must still be
-// served.
+// Requests that ran at a server when a poison request crashed it must still be served, even if that happened at
+// several servers.
 func TestRequestsConcurrentWithPoisonRequestAreServed(t *testing.T) {
 	t.Parallel()
 	f := newCrashableFleet(t)
