--- a/fleet/feed.go
+++ b/fleet/feed.go
@@ -246,7 +246,7 @@
 			"row-version": f.Row.Version,
 			"field":       field,
 			"reason":      f.Err.Error(),
-		}).Warn("ignoring an invalid row")
+		}).Warn("a row is passed over")
 	}
 }
 
--- a/fleet/hold.go
+++ b/fleet/hold.go
@@ -82,7 +82,7 @@
 	for _, row := range rows {
 		request, report, err := fromQuarantineRow(row, c.settings.Timer.Now())
 		if err != nil {
-			c.settings.Logger.WithError(err).WithField("key", row.Key).Warn("ignoring an invalid row")
+			c.settings.Logger.WithError(err).WithField("key", row.Key).Warn("a row is passed over")
 			continue
 		}
 		c.settings.Quarantine.Merge(report)
