--- a/peer/changes.go
+++ b/peer/changes.go
@@ -18,7 +18,7 @@
 	minCompressSize = 512
 	// maxValueSize is the maximum size of a decompressed value, in bytes.
 	maxValueSize = 16 << 20
-	// minPackedRows is the least number of rows that are compressed together.
+	// minPackedRows is the minimum number of rows that are compressed together.
 	minPackedRows = 8
 	// minWindowSize is the smallest window that the compressor supports, in bytes.
 	minWindowSize = 1 << 10
@@ -38,14 +38,14 @@
 	NewestEncoding = EncodingCompressed
 )
 
-// BaseLookup returns the older version of a row that the receiver has, and false if it is not known.
+// BaseLookup returns the older version of a row that the receiver has, and false if none is known.
 type BaseLookup func(r lovageyard.Row) (lovageyard.Row, bool)
 
 // NoBase is the BaseLookup of a receiver without older rows; values are then sent in full.
 func NoBase(lovageyard.Row) (lovageyard.Row, bool) { return lovageyard.Row{}, false }
 
-// FromChanges returns the wire form of changes with long values compressed, in full; the rows of plans
-// are repetitive and compress well.
+// FromChanges returns the wire form of changes for a receiver without older rows. Long values are
+// compressed; those of plans are repetitive and compress well.
 func FromChanges(c lovageyard.Changes) *wire.Changes {
 	return new(Encoder).EncodeChanges(c, NoBase)
 }
@@ -68,9 +68,9 @@
 	byBase  map[int64][]byte
 }
 
-// EncodeChanges returns the wire form of changes. If the receiver has an older value of a row, the delta is
-// sent: for a configuration of 760 KB, one additional route takes 0.2 KB and 1,400 additional routes
-// take 24 KB, while the full value takes 70 KB.
+// EncodeChanges returns the wire form of changes. For a long value of which the receiver has an older
+// version, a delta is sent: for a configuration of 760 KB, one additional route takes 0.2 KB and 1,400
+// additional routes take 24 KB, while the full value takes 70 KB.
 func (e *Encoder) EncodeChanges(c lovageyard.Changes, baseOf BaseLookup) *wire.Changes {
 	w := &wire.Changes{After: c.After, To: c.To}
 	for _, r := range c.Rows {
@@ -96,7 +96,8 @@
 	return w
 }
 
-// compressRow returns the compressed value of a row, from the cache if possible.
+// compressRow returns the compressed value of a row, from the cache if possible. A base without a value
+// means none.
 func (e *Encoder) compressRow(r, base lovageyard.Row) []byte {
 	if e.compressed == nil {
 		e.compressed = make(map[rowKey]*compressedRow)
@@ -115,21 +116,21 @@
 	return zipped
 }
 
-// EncodeTable returns the changes of one table for a peer whose newest encoding is reads. Many rows are
-// compressed together, as small rows are similar to each other.
-func (e *Encoder) EncodeTable(table string, c lovageyard.Changes, baseOf BaseLookup, reads int32) (*wire.TableChanges, error) {
-	if reads < EncodingCompressed {
+// EncodeTable returns the changes of one table for a peer that reads encodings up to newest. If there are
+// many rows, they are compressed together, as small rows are similar to each other.
+func (e *Encoder) EncodeTable(table string, c lovageyard.Changes, baseOf BaseLookup, newest int32) (*wire.TableChanges, error) {
+	if newest < EncodingCompressed {
 		return &wire.TableChanges{Table: table, Changes: encodePlainChanges(c), Form: EncodingPlain}, nil
 	}
 	t := &wire.TableChanges{Table: table, Changes: e.EncodeChanges(c, baseOf), Form: EncodingCompressed}
 	if len(c.Rows) < minPackedRows {
 		return t, nil
 	}
-	whole, err := proto.Marshal(t.GetChanges())
+	encoded, err := proto.Marshal(t.GetChanges())
 	if err != nil {
 		return nil, errors.Wrap(err, "changes of "+table)
 	}
-	if packed := Compress(whole); len(packed) < len(whole) {
+	if packed := Compress(encoded); len(packed) < len(encoded) {
 		return &wire.TableChanges{Table: table, Packed: packed, Form: EncodingCompressed}, nil
 	}
 	return t, nil
@@ -157,12 +158,12 @@
 	if len(t.GetPacked()) == 0 {
 		return t.GetChanges(), nil
 	}
-	whole, err := Decompress(t.GetPacked())
+	encoded, err := Decompress(t.GetPacked())
 	if err != nil {
 		return nil, errors.Wrap(err, "changes of "+t.GetTable())
 	}
 	changes := &wire.Changes{}
-	return changes, errors.Wrap(proto.Unmarshal(whole, changes), "changes of "+t.GetTable())
+	return changes, errors.Wrap(proto.Unmarshal(encoded, changes), "changes of "+t.GetTable())
 }
 
 // Compress returns a value compressed with zstd, without a base.
@@ -170,7 +171,8 @@
 	return compressDelta(value, nil)
 }
 
-// compressDelta returns a value compressed with a base as the dictionary, or without one if it is empty.
+// compressDelta returns a value compressed with a base as the dictionary, or without a dictionary if the
+// base is empty.
 func compressDelta(value, base []byte) []byte {
 	if len(base) == 0 {
 		return sharedCompressor().EncodeAll(value, nil)
@@ -215,8 +217,8 @@
 	return zstd.NewReader(nil, options...)
 }
 
-// ToRow returns the row of a wire message. The base is the value from which the message may be a delta. It
-// returns an error if the value can't be decompressed.
+// ToRow returns the row of a wire message. If the message contains a delta, base must be the value that the
+// delta is based on. ToRow returns an error if the value can't be decompressed.
 func ToRow(table string, w *wire.Row, base []byte) (lovageyard.Row, error) {
 	r := lovageyard.Row{Table: table, Key: w.GetKey(), Version: w.GetVersion(), Value: w.GetValue(), Deleted: w.GetDeleted()}
 	if len(w.GetZipped()) == 0 {
@@ -227,7 +229,7 @@
 	return r, errors.Wrap(err, "row "+r.Table+"/"+r.Key)
 }
 
-// ToChanges returns the changes of a wire message whose values have no base, or an error if one can't be
+// ToChanges returns the changes of a wire message without deltas, or an error if a value can't be
 // decompressed.
 func ToChanges(w *wire.Changes) (lovageyard.Changes, error) {
 	c := lovageyard.Changes{After: w.GetAfter(), To: w.GetTo()}
--- a/peer/changes_test.go
+++ b/peer/changes_test.go
@@ -31,7 +31,7 @@
 	c.Assert(got, qt.DeepEquals, want)
 }
 
-func TestInvalidRowsAreRejected(t *testing.T) {
+func TestInvalidCompressedValuesAreRejected(t *testing.T) {
 	bomb := Compress(make([]byte, maxValueSize+1))
 	for _, zipped := range [][]byte{[]byte("no zstd"), bomb, bomb[:len(bomb)/2]} {
 		c := qt.New(t)
@@ -40,7 +40,7 @@
 	}
 }
 
-// A value must be decodable from the delta to any older value.
+// A value must be decodable from its delta and the base, whatever the base is.
 func TestDeltasRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -61,7 +61,7 @@
 	})
 }
 
-// textOf returns text of a size that compresses as well as a list of routes.
+// textOf returns text of the given size, in bytes, that compresses as well as a list of routes.
 func textOf(size int) []byte {
 	var b bytes.Buffer
 	for n := 0; b.Len() < size; n++ {
@@ -73,14 +73,14 @@
 // A configuration of 1 MB must not be compressed separately for each peer.
 func TestValueIsCompressedOnceForEachBase(t *testing.T) {
 	c := qt.New(t)
-	p := new(Encoder)
+	e := new(Encoder)
 	row := lovageyard.Row{Table: "orders", Key: "config", Version: 7, Value: textOf(10_000)}
 	changes := lovageyard.Changes{To: 7, Rows: []lovageyard.Row{row}}
-	first := p.EncodeChanges(changes, NoBase).GetRows()[0].GetZipped()
-	second := p.EncodeChanges(changes, NoBase).GetRows()[0].GetZipped()
+	first := e.EncodeChanges(changes, NoBase).GetRows()[0].GetZipped()
+	second := e.EncodeChanges(changes, NoBase).GetRows()[0].GetZipped()
 	c.Assert(&first[0], qt.Equals, &second[0])
 	row.Version, row.Value = 8, textOf(9_000)
-	third := p.EncodeChanges(lovageyard.Changes{To: 8, Rows: []lovageyard.Row{row}}, NoBase)
+	third := e.EncodeChanges(lovageyard.Changes{To: 8, Rows: []lovageyard.Row{row}}, NoBase)
 	got, err := ToRow("orders", third.GetRows()[0], nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(got, qt.DeepEquals, row)
--- a/peer/client.go
+++ b/peer/client.go
@@ -14,11 +14,11 @@
 
 // Timeouts of calls to peers.
 const (
-	// callTimeout is the timeout for the response header, beyond the time that the call may wait at the
-	// peer, and the idle timeout while the response is read.
+	// callTimeout is the timeout for the response header, in addition to the time that the call may wait
+	// at the peer, and the idle timeout while the response is read.
 	callTimeout = time.Second
-	// maxCallDuration limits the whole call beyond its wait time, even if bytes keep arriving: a row of
-	// 1 MB takes 0.8 s on a link of 10 Mbit/s, and several times as long with concurrent transfers.
+	// maxCallDuration limits the whole call, in addition to its wait time, even if bytes keep arriving: a
+	// row of 1 MB takes 0.8 s on a link of 10 Mbit/s, and several times as long with concurrent transfers.
 	maxCallDuration = 30 * time.Second
 	// keepAliveInterval is the interval of TCP keep-alive probes, which detect a peer that has stopped
 	// answering while a call waits.
@@ -74,8 +74,8 @@
 	return reply, nil
 }
 
-// Settle reports the use of accounts' limits to the instance at an address, which owns them, and returns the
-// tokens that it grants.
+// Settle reports the use of accounts' limits to the owner of the accounts, the instance at an address, and
+// returns the tokens that it grants.
 func (c *Client) Settle(ctx context.Context, address string, r *wire.SettleRequest) (*wire.SettleReply, error) {
 	reply, err := wire.NewQuotaProtobufClient("http://"+address, c.transferClient(0)).Settle(ctx, r)
 	return reply, errors.Wrap(err, "settle with "+address)
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -64,24 +64,24 @@
 }
 
 // FromPlacement returns the wire form of the placement that an instance applies for a class.
-func FromPlacement(class string, a move.Placement) *wire.Applied {
-	w := &wire.Applied{Class: class, Step: a.Step}
-	positions := make(map[string]int32)
-	position := func(site string) int32 {
-		p, found := positions[site]
+func FromPlacement(class string, placement move.Placement) *wire.Applied {
+	w := &wire.Applied{Class: class, Step: placement.Step}
+	siteIndexes := make(map[string]int32)
+	siteIndex := func(site string) int32 {
+		index, found := siteIndexes[site]
 		if !found {
-			p = int32(len(w.Sites))
-			positions[site] = p
+			index = int32(len(w.Sites))
+			siteIndexes[site] = index
 			w.Sites = append(w.Sites, site)
 		}
-		return p
+		return index
 	}
-	for _, h := range a.Homes {
+	for _, h := range placement.Homes {
 		home := &wire.Home{FailureDomain: h.FailureDomain}
 		for _, c := range h.Cells {
 			home.Cells = append(home.Cells, &wire.Cell{
-				Site:    position(c.Site),
-				Next:    position(c.Target),
+				Site:    siteIndex(c.Site),
+				Next:    siteIndex(c.Target),
 				Settled: float32(c.Shifted),
 				Moving:  c.Moving,
 			})
@@ -91,14 +91,14 @@
 	return w
 }
 
-// ToPlacement returns the placement of a wire message. Homes with missing cells or an invalid site index
-// are left out.
+// ToPlacement returns the placement of a wire message, without the homes that lack cells or have an invalid
+// site index.
 func ToPlacement(w *wire.Applied) move.Placement {
-	a := move.Placement{Step: w.GetStep()}
+	placement := move.Placement{Step: w.GetStep()}
 	for _, h := range w.GetHomes() {
 		home := move.Home{FailureDomain: h.GetFailureDomain()}
 		for _, c := range h.GetCells() {
-			if !isKnownSite(w, c.GetSite()) || !isKnownSite(w, c.GetNext()) {
+			if !isSiteIndex(w, c.GetSite()) || !isSiteIndex(w, c.GetNext()) {
 				break
 			}
 			home.Cells = append(home.Cells, move.Cell{
@@ -109,12 +109,12 @@
 			})
 		}
 		if len(home.Cells) == lovageyard.Buckets {
-			a.Homes = append(a.Homes, home)
+			placement.Homes = append(placement.Homes, home)
 		}
 	}
-	return a
+	return placement
 }
 
-func isKnownSite(w *wire.Applied, site int32) bool {
+func isSiteIndex(w *wire.Applied, site int32) bool {
 	return site >= 0 && int(site) < len(w.GetSites())
 }
--- a/peer/rate.go
+++ b/peer/rate.go
@@ -3,14 +3,14 @@
 import "math"
 
 // Rates in demand reports are encoded on a logarithmic scale, in one byte for each bucket: 12 steps for each
-// doubling, from one request in 100 s to 25,000 requests a second, with an error of at most 3%.
+// doubling, from one request in 100 s to about 23,500 requests a second, with an error of at most 3%.
 const (
 	minRate          = 0.01
 	stepsPerDoubling = 12
 	maxStep          = 255
 )
 
-// FromRates returns the wire form of rates in requests a second; rates below half of minRate become 0.
+// FromRates returns the wire form of rates in requests a second; rates below 0.005 become 0.
 func FromRates(rates []float64) []byte {
 	out := make([]byte, len(rates))
 	for i, rate := range rates {
