--- a/route/snapshot.go
+++ b/route/snapshot.go
@@ -48,15 +48,15 @@
 
 // Locate returns the block and bucket of a client, and its home failure domain.
 func (s *Snapshot) Locate(client netip.Addr) (location block.Location, home string) {
-	p := s.Blocks.Find(client)
-	if p.Home == "" {
-		return p, s.DefaultHome
+	found := s.Blocks.Find(client)
+	if found.Home == "" {
+		return found, s.DefaultHome
 	}
-	return p, p.Home
+	return found, found.Home
 }
 
 // LookUp ranks the entry instances for a client. It does not allocate.
 func (s *Snapshot) LookUp(client netip.Addr) instance.Ranking {
-	p, home := s.Locate(client)
-	return s.Directory.Rank(home, p.Hash)
+	location, home := s.Locate(client)
+	return s.Directory.Rank(home, location.Hash)
 }
--- a/route/work.go
+++ b/route/work.go
@@ -29,8 +29,8 @@
 	Buckets       [lovageyard.Buckets]atomic.Uint64
 }
 
-// Site is a site that serves a class. The tokens of Allowance permit failover to it; Local reports
-// whether it is in this instance's failure domain.
+// Site is a site that serves a class. Each failover request to it takes a token of Allowance, the bucket of
+// its grant. Local is set if the site is in this instance's failure domain.
 type Site struct {
 	Name      string
 	Pool      *server.Pool
@@ -38,12 +38,15 @@
 	Local     bool
 }
 
-// ClassRoute is the routing state of one class. The limiters, the budget, the counters and the sites'
-// pools are shared by successive snapshots; the rest is immutable.
+// ClassRoute is the routing state of one class. The limiters, the budget, the counters and the sites' pools
+// and allowances are shared by successive snapshots; the rest is immutable.
 type ClassRoute struct {
-	Class           lovageyard.Class
-	Step            int64
-	Limiter         *move.Limiter
+	Class lovageyard.Class
+	// Step is the step of the class's plan.
+	Step    int64
+	Limiter *move.Limiter
+	// FailoverLimiter has the part of the failover cap beyond the cap of Limiter, or is Limiter if there is
+	// no such part.
 	FailoverLimiter *move.Limiter
 	RetryBudget     *server.RetryBudget
 	HomeCounts      []*HomeCounter
@@ -54,8 +57,9 @@
 
 // Choice is the site chosen for one attempt, or the refusal of the request.
 type Choice struct {
-	Site   string
-	Pool   *server.Pool
+	Site string
+	Pool *server.Pool
+	// Moved is set if a limiter admitted the request to another site than that of its bucket.
 	Moved  bool
 	Reason string
 	// Err is the refusal, or nil; RetryAfter is the delay after which the caller may retry.
@@ -64,26 +68,27 @@
 }
 
 // CountRequest counts one request of the class, for the limiters and for demand reports.
-func (r *ClassRoute) CountRequest(p block.Location, home string) {
+func (r *ClassRoute) CountRequest(location block.Location, home string) {
 	r.Limiter.CountArrival()
 	if r.FailoverLimiter != r.Limiter {
 		r.FailoverLimiter.CountArrival()
 	}
 	for _, c := range r.HomeCounts {
 		if c.FailureDomain == home {
-			c.Buckets[p.Bucket].Add(1)
+			c.Buckets[location.Bucket].Add(1)
 			return
 		}
 	}
 }
 
-// ChooseSite returns the site for a request from a client's location and home failure domain, or a refusal.
-func (r *ClassRoute) ChooseSite(p block.Location, home string, now time.Time) Choice {
+// ChooseSite returns the site for a request, or a refusal, given the client's location and home failure
+// domain.
+func (r *ClassRoute) ChooseSite(location block.Location, home string, now time.Time) Choice {
 	cells := r.cells(home)
 	if cells == nil {
 		return r.chooseLocal()
 	}
-	name, moved := cells[p.Bucket].Route(rand.Float64(), r.Limiter)
+	name, moved := cells[location.Bucket].Route(rand.Float64(), r.Limiter)
 	site := r.site(name)
 	if site != nil && site.Pool.HasAvailable() {
 		return Choice{Site: name, Pool: site.Pool, Moved: moved, Reason: reasonOf(moved)}
@@ -98,20 +103,20 @@
 	return ReasonPlan
 }
 
-// chooseFailover returns the nearest site to which a grant and the cap allow a request whose site does not
-// accept requests.
-func (r *ClassRoute) chooseFailover(from string, now time.Time) Choice {
+// chooseFailover returns the nearest other site that accepts requests and has a token of its grant left, for
+// a request whose site is unavailable. It returns a refusal if there is none or the failover cap is used up.
+func (r *ClassRoute) chooseFailover(unavailable string, now time.Time) Choice {
 	for i := range r.Sites {
 		s := &r.Sites[i]
-		if s.Name == from || !s.Pool.HasAvailable() || !s.Allowance.Take(now) {
+		if s.Name == unavailable || !s.Pool.HasAvailable() || !s.Allowance.Take(now) {
 			continue
 		}
 		if !r.allowFailover() {
-			return refuse("site "+from+" takes no work, and the failover cap is used up", retryAfterNoSite)
+			return refuse("site "+unavailable+" takes no work, and the failover cap is used up", retryAfterNoSite)
 		}
 		return Choice{Site: s.Name, Pool: s.Pool, Moved: true, Reason: ReasonGrant}
 	}
-	return refuse("site "+from+" takes no work, and no grant is left", retryAfterNoSite)
+	return refuse("site "+unavailable+" takes no work, and no grant is left", retryAfterNoSite)
 }
 
 func (r *ClassRoute) allowFailover() bool {
@@ -121,7 +126,7 @@
 	return r.FailoverLimiter != r.Limiter && r.FailoverLimiter.AllowFailover()
 }
 
-// chooseLocal returns a site in the own failure domain; it is used while the home has no placement.
+// chooseLocal returns a site in this instance's failure domain, for a home without a placement.
 func (r *ClassRoute) chooseLocal() Choice {
 	for i := range r.Sites {
 		s := &r.Sites[i]
