--- a/inbox/inbox.go
+++ b/inbox/inbox.go
@@ -47,7 +47,8 @@
 }
 
 // Post sends a message to the owner. It blocks while the buffer is full, and returns false if the inbox
-// is closed first.
+// is closed first. A message that is posted while the inbox is being closed may be lost although Post
+// returned true.
 func (b *Inbox[S]) Post(m Message[S]) bool {
 	select {
 	case b.messages <- m:
@@ -62,8 +63,8 @@
 	b.calls.Go(f)
 }
 
-// Call runs f in a new goroutine and posts its result, if that is not nil. It does nothing if a call with
-// the same name is running. Only the owner may call it.
+// Call runs f in a new goroutine, and posts its result as a message unless it is nil. It does nothing if a
+// call with the same name is running. Only the owner may call it.
 func (b *Inbox[S]) Call(name string, f func(ctx context.Context) Message[S]) {
 	if b.runningCalls[name] {
 		return
@@ -91,7 +92,7 @@
 	b.calls.Wait()
 }
 
-// callResult is the message that ends a call.
+// callResult is the message that a call posts when it returns.
 type callResult[S any] struct {
 	inbox  *Inbox[S]
 	name   string
--- a/inbox/inbox_test.go
+++ b/inbox/inbox_test.go
@@ -9,10 +9,10 @@
 	"lovageyard.example/lovageyard/inbox"
 )
 
-// sum is the state of the tests.
+// sum is the owner's state in the tests; totals receives the total after each message.
 type sum struct {
-	total int
-	seen  chan int
+	total  int
+	totals chan int
 }
 
 // number is a message that adds itself to the sum.
@@ -20,12 +20,12 @@
 
 func (n number) Apply(s *sum) {
 	s.total += int(n)
-	s.seen <- s.total
+	s.totals <- s.total
 }
 
-// startOwner starts the owner of a sum.
+// startOwner starts the goroutine that owns a sum, and returns the sum.
 func startOwner(b *inbox.Inbox[*sum]) *sum {
-	s := &sum{seen: make(chan int)}
+	s := &sum{totals: make(chan int)}
 	b.Start(func() {
 		for {
 			select {
@@ -47,7 +47,7 @@
 		c.Assert(b.Post(number(n+1)), qt.IsTrue)
 	}
 	for _, want := range []int{1, 3, 6, 10} {
-		c.Assert(<-s.seen, qt.Equals, want)
+		c.Assert(<-s.totals, qt.Equals, want)
 	}
 	b.Close()
 	// Post must fail once the context is cancelled, at the latest when the buffer is full.
@@ -55,7 +55,7 @@
 	}
 }
 
-// startCalls is a message that starts two calls with the same name.
+// startCalls is a message that starts two calls with the same name. They return once release is closed.
 type startCalls struct {
 	inbox   *inbox.Inbox[*sum]
 	release chan struct{}
@@ -70,7 +70,7 @@
 	}
 	m.inbox.Call("without result", func(context.Context) inbox.Message[*sum] { return nil })
 	if m.inbox.IsCalling("slow") {
-		s.seen <- 0
+		s.totals <- 0
 	}
 }
 
@@ -80,13 +80,13 @@
 	s := startOwner(b)
 	first := startCalls{inbox: b, release: make(chan struct{})}
 	b.Post(first)
-	c.Assert(<-s.seen, qt.Equals, 0)
+	c.Assert(<-s.totals, qt.Equals, 0)
 	close(first.release)
-	c.Assert(<-s.seen, qt.Equals, 5)
+	c.Assert(<-s.totals, qt.Equals, 5)
 	second := startCalls{inbox: b, release: first.release}
 	b.Post(second)
-	c.Assert(<-s.seen, qt.Equals, 0)
-	c.Assert(<-s.seen, qt.Equals, 10)
+	c.Assert(<-s.totals, qt.Equals, 0)
+	c.Assert(<-s.totals, qt.Equals, 10)
 	b.Close()
 }
 
