--- a/block/block.go
+++ b/block/block.go
@@ -14,12 +14,13 @@
 // ObjectName is the name of the table of blocks in the platform's object store.
 const ObjectName = "blocks"
 
-// Prefix lengths of the blocks of clients, IPv4 and IPv6, that no entry of the table contains.
+// Prefix lengths of the blocks of IPv4 and IPv6 clients that no entry of the table contains.
 const (
 	defaultPrefixBits4 = 24
 	defaultPrefixBits6 = 48
 )
 
+// bucketShift leaves the upper 6 bits of a hash, for 64 buckets.
 const bucketShift = 58
 
 // Entry assigns a home failure domain to the clients of one prefix.
@@ -42,6 +43,7 @@
 
 // Table maps clients to locations. It is immutable and safe for concurrent use.
 type Table struct {
+	// starts holds the first address of each entry; both are in the order of addresses.
 	starts  []netip.Addr
 	entries []Entry
 }
@@ -95,12 +97,12 @@
 		return Location{}
 	}
 	client = client.Unmap()
-	position, found := slices.BinarySearchFunc(t.starts, client, netip.Addr.Compare)
+	index, found := slices.BinarySearchFunc(t.starts, client, netip.Addr.Compare)
 	if !found {
-		position--
+		index--
 	}
-	if position >= 0 && t.entries[position].Prefix.Contains(client) {
-		e := t.entries[position]
+	if index >= 0 && t.entries[index].Prefix.Contains(client) {
+		e := t.entries[index]
 		return locationOf(e.Prefix, e.FailureDomain)
 	}
 	bits := defaultPrefixBits6
@@ -116,11 +118,11 @@
 
 func locationOf(prefix netip.Prefix, home string) Location {
 	raw := prefix.Addr().As16()
-	sum := xxhash.Sum64(raw[:])
+	hash := xxhash.Sum64(raw[:])
 	return Location{
 		Block:  prefix,
 		Home:   home,
-		Bucket: int(sum>>bucketShift) % lovageyard.Buckets,
-		Hash:   sum,
+		Bucket: int(hash>>bucketShift) % lovageyard.Buckets,
+		Hash:   hash,
 	}
 }
--- a/block/block_test.go
+++ b/block/block_test.go
@@ -27,9 +27,9 @@
 	} {
 		t.Run(test.client, func(t *testing.T) {
 			c := qt.New(t)
-			p := table.Find(netip.MustParseAddr(test.client))
-			c.Assert(p.Block.String(), qt.Equals, test.block)
-			c.Assert(p.Home, qt.Equals, test.home)
+			location := table.Find(netip.MustParseAddr(test.client))
+			c.Assert(location.Block.String(), qt.Equals, test.block)
+			c.Assert(location.Home, qt.Equals, test.home)
 		})
 	}
 	c := qt.New(t)
