--- a/timer/clock.go
+++ b/timer/clock.go
@@ -28,7 +28,7 @@
 
 // Subscribe returns a ticker that ticks at an interval, until it is closed.
 func (Clock) Subscribe(interval time.Duration) lovageyard.Ticker {
-	return &clockTicks{ticker: time.NewTicker(interval)}
+	return &clockTicker{ticker: time.NewTicker(interval)}
 }
 
 // After returns a ticker that ticks once, when d has passed.
@@ -36,15 +36,15 @@
 	return &clockTimer{timer: time.NewTimer(d)}
 }
 
-type clockTicks struct {
+type clockTicker struct {
 	ticker *time.Ticker
 }
 
-func (t *clockTicks) C() <-chan time.Time {
+func (t *clockTicker) C() <-chan time.Time {
 	return t.ticker.C
 }
 
-func (t *clockTicks) Close() {
+func (t *clockTicker) Close() {
 	t.ticker.Stop()
 }
 
--- a/timer/manual.go
+++ b/timer/manual.go
@@ -12,7 +12,7 @@
 	mu            sync.Mutex
 	now           time.Time
 	suspended     time.Duration
-	subscriptions []*manualTicks
+	subscriptions []*manualTicker
 }
 
 // NewManual returns a Manual whose time is start.
@@ -41,7 +41,7 @@
 	m.suspended += d
 }
 
-// Subscribe returns a ticker with an interval. A call of Advance that passes one or more ticks sends one.
+// Subscribe returns a ticker that ticks at an interval. Advance sends a single tick even if it passes several.
 func (m *Manual) Subscribe(interval time.Duration) lovageyard.Ticker {
 	return m.add(interval, interval)
 }
@@ -51,10 +51,10 @@
 	return m.add(d, 0)
 }
 
-func (m *Manual) add(first, interval time.Duration) *manualTicks {
+func (m *Manual) add(first, interval time.Duration) *manualTicker {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := &manualTicks{
+	t := &manualTicker{
 		manual:   m,
 		channel:  make(chan time.Time, 1),
 		next:     m.now.Add(first),
@@ -74,14 +74,14 @@
 	}
 }
 
-// Subscriptions returns the number of tickers that have not been closed.
+// Subscriptions returns the number of tickers, of Subscribe and After, that have not been closed.
 func (m *Manual) Subscriptions() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.subscriptions)
 }
 
-func (m *Manual) remove(closed *manualTicks) {
+func (m *Manual) remove(closed *manualTicker) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	kept := m.subscriptions[:0]
@@ -93,7 +93,7 @@
 	m.subscriptions = kept
 }
 
-type manualTicks struct {
+type manualTicker struct {
 	manual   *Manual
 	channel  chan time.Time
 	next     time.Time
@@ -101,7 +101,7 @@
 	expired  bool
 }
 
-func (t *manualTicks) deliver(now time.Time) {
+func (t *manualTicker) deliver(now time.Time) {
 	if t.expired || now.Before(t.next) {
 		return
 	}
@@ -118,10 +118,10 @@
 	}
 }
 
-func (t *manualTicks) C() <-chan time.Time {
+func (t *manualTicker) C() <-chan time.Time {
 	return t.channel
 }
 
-func (t *manualTicks) Close() {
+func (t *manualTicker) Close() {
 	t.manual.remove(t)
 }
