--- a/demo/account.go
+++ b/demo/account.go
@@ -55,7 +55,7 @@
 	}
 	w.Flush()
 	minimum := time.Duration(1/moveCap) * moveInterval
-	fmt.Printf("drain of site %s under a cap of %.0f%% in %s: the minimum time is %s\n", d.drained, 100*moveCap, moveInterval, minimum)
+	fmt.Printf("drain of site %s under a cap of %.0f%% in %s: the minimum time is %s\n", d.drainedSite, 100*moveCap, moveInterval, minimum)
 	fmt.Printf("requests cut: %d\n", cut)
 	if cut > 0 {
 		return errors.Errorf("%d requests were cut", cut)
@@ -88,7 +88,7 @@
 func (d *demo) drainTime(r classResult) string {
 	last := int64(0)
 	for _, s := range r.Seconds {
-		if countOf(s.Sites, d.drained) > 0 {
+		if countOf(s.Sites, d.drainedSite) > 0 {
 			last = s.UnixSecond
 		}
 	}
--- a/demo/main.go
+++ b/demo/main.go
@@ -31,19 +31,20 @@
 	Choice     string `default:"shared" help:"How entry instances choose a backend server."`
 }
 
-// demo is one run of a deployment.
+// demo is one run of a deployment. entries and daemons hold the entry instances and their processes in the same
+// order; drainedSite is drained from drainedAt on.
 type demo struct {
-	deployment deployment
-	choice     string
-	bin        string
-	logs       string
-	processes  []*process
-	platform   string
-	entries    []lovageyard.EntryInstance
-	daemons    []*process
-	operator   *operator.Client
-	drained    string
-	drainedAt  time.Time
+	deployment  deployment
+	choice      string
+	bin         string
+	logs        string
+	processes   []*process
+	platform    string
+	entries     []lovageyard.EntryInstance
+	daemons     []*process
+	operator    *operator.Client
+	drainedSite string
+	drainedAt   time.Time
 }
 
 func main() {
@@ -95,9 +96,9 @@
 		return err
 	}
 	time.Sleep(drainAt)
-	d.drained = d.deployment.domains()[0]
+	d.drainedSite = d.deployment.domains()[0]
 	d.drainedAt = time.Now()
-	if err := d.operator.Drain(ctx, d.drained, time.Now().Add(drainWithin)); err != nil {
+	if err := d.operator.Drain(ctx, d.drainedSite, time.Now().Add(drainWithin)); err != nil {
 		return errors.Wrap(err, "drain")
 	}
 	time.Sleep(stopAt - drainAt)
--- a/integration/deployment_test.go
+++ b/integration/deployment_test.go
@@ -106,7 +106,8 @@
 }
 
 // deployment is a small deployment: two failure domains of one region, with two entry
-// instances and two backend servers each.
+// instances and two backend servers each. entries and daemons hold the instances and their processes in the
+// same order.
 type deployment struct {
 	c        *qt.C
 	platform string
@@ -217,14 +218,15 @@
 	stop    chan struct{}
 	senders sync.WaitGroup
 	mu      sync.Mutex
-	sites   map[string]int
-	status  map[int]int
-	failed  []error
+	// sites and statuses count the answers by site and by status; failed holds the errors of the other requests.
+	sites    map[string]int
+	statuses map[int]int
+	failed   []error
 }
 
 // startTraffic starts concurrent senders, each with a cached look-up of its own.
 func (d *deployment) startTraffic(class, method string, senders int) *traffic {
-	t := &traffic{stop: make(chan struct{}), sites: make(map[string]int), status: make(map[int]int)}
+	t := &traffic{stop: make(chan struct{}), sites: make(map[string]int), statuses: make(map[int]int)}
 	for n := range senders {
 		t.senders.Go(func() { t.send(d, n, class, method) })
 	}
@@ -283,7 +285,7 @@
 		return
 	}
 	t.sites[site]++
-	t.status[status]++
+	t.statuses[status]++
 }
 
 // takeSites returns the counts by site since the last call and resets them.
@@ -300,7 +302,7 @@
 	close(t.stop)
 	t.senders.Wait()
 	c.Assert(t.failed, qt.HasLen, 0)
-	for status := range t.status {
+	for status := range t.statuses {
 		c.Assert(status, qt.Equals, http.StatusOK)
 	}
 }
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -189,8 +189,8 @@
 	delete(c.backpressure.pending, id)
 }
 
-// hasReceived reports whether an instance still knows a signal that it received at a time: it has not been
-// restarted, paused or killed since. The caller holds the lock.
+// hasReceived reports whether an instance must still know a signal that it received at a time, because it was
+// not restarted, paused or killed since. The caller holds the lock.
 func (c *checker) hasReceived(check, instance string, at, now time.Time) bool {
 	if c.backpressure.startedAt[instance].After(at) {
 		c.counts["excused "+check]++
@@ -210,7 +210,8 @@
 	c.checkLimit(to, id, now)
 }
 
-// checkBackoff checks that a server gets at most backoffSends requests of an instance during a backoff.
+// checkBackoff checks that a server gets at most backoffSends requests of an instance during a backoff; the
+// caller holds the lock.
 func (c *checker) checkBackoff(to link, id string, now time.Time) {
 	b, known := c.backpressure.backoffs[to]
 	if !known || now.Sub(b.requestedAt) < signalDelay || now.After(b.until) || !c.hasReceived("arrivals in a backoff", to.instance, b.requestedAt, now) {
@@ -223,7 +224,8 @@
 	}
 }
 
-// checkLimit checks that a server gets no more than its limit from all instances together.
+// checkLimit checks that a server gets no more than its limit, with a margin, from all instances together; the
+// caller holds the lock.
 func (c *checker) checkLimit(to link, id string, now time.Time) {
 	receivedAt, known := c.backpressure.limited[to]
 	announcedAt := c.backpressure.announcedAt[to.server]
