--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -133,8 +133,7 @@
 	}
 }
 
-// refuse refuses a request. Its client should retry after about one mean work time, with jitter so
-// that refused clients do not retry simultaneously.
+// refuse refuses a request. Its client should retry after about one mean work time.
 func (t *Table) refuse(r Request, s *service, cause, reason string) Choice {
 	mean := newWorkEstimator(r.Route.Goal).mean
 	if s != nil {
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -10,8 +10,8 @@
 // are sent to the server with the least expected completion time, which depends on network distance,
 // queueing, work, speed and recent failures. The share of requests that leaves the region follows
 // that estimate slowly (region.go, spill.go). Requests wait in the queues of the servers, so that
-// servers are never idle while there is work. A request is refused immediately if no such server has
-// room or can answer before the deadline.
+// servers are never idle while there is work. A request is refused immediately if no eligible server
+// has room or can answer before the deadline.
 //
 // Limits that hold for all instances together, such as the rate of requests to a cold server and the
 // retry budget, are divided among the instances.
--- a/dispatch/estimate.go
+++ b/dispatch/estimate.go
@@ -56,12 +56,12 @@
 func (t *Table) estimate(r Request, s *service, b *server) *candidate {
 	b.decay(r.Now)
 	load := b.estimatedLoad(r.Now)
-	full := maxLoadOther
+	maxLoad := maxLoadOther
 	if r.Rank <= s.fullQueueRank {
-		full = maxLoadUrgent
+		maxLoad = maxLoadUrgent
 	}
 	slots := float64(b.slots)
-	if load+1 > full*slots {
+	if load+1 > maxLoad*slots {
 		return nil
 	}
 	c := &candidate{server: b, load: load, local: b.Region == t.settings.Region}
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -21,17 +21,17 @@
 				l.shared = false
 				l.seed = seed
 				l.duration = 36 * time.Second
-				most := 0.0
-				for _, times := range []float64{0.5, 1, 1.5, 2, 4} {
+				best := 0.0
+				for _, factor := range []float64{0.5, 1, 1.5, 2, 4} {
 					heavier := l
-					heavier.rate *= times
+					heavier.rate *= factor
 					m := newSimulation(heavier)
 					m.run(chooseByTable(m))
 					perSecond := float64(m.inGoal) / l.duration.Seconds()
-					t.Logf("%.1f times: %.0f a second in goal of %.0f, refused %.3f", times, perSecond,
+					t.Logf("%.1f times: %.0f a second in goal of %.0f, refused %.3f", factor, perSecond,
 						float64(m.requests)/l.duration.Seconds(), float64(m.refused)/float64(m.requests))
-					qt.Check(t, perSecond >= 0.9*most, qt.IsTrue)
-					most = max(most, perSecond)
+					qt.Check(t, perSecond >= 0.9*best, qt.IsTrue)
+					best = max(best, perSecond)
 				}
 			})
 		}
