--- a/peer/wire/fleet.twirp.go
+++ b/peer/wire/fleet.twirp.go
@@ -26,9 +26,9 @@
 // Fleet Interface
 // ===============
 
-// Fleet is the service that entry instances on a platform with a feed offer to each other.
+// Fleet is the gossip service of entry instances on a platform with a change feed.
 type Fleet interface {
-	// Share tells who is alive, and passes on rows of the platform that the caller lacks.
+	// Share exchanges heartbeats and crash reports, and returns the rows of the platform that the caller lacks.
 	Share(context.Context, *ShareRequest) (*ShareReply, error)
 }
 
--- a/peer/wire/quota.twirp.go
+++ b/peer/wire/quota.twirp.go
@@ -28,7 +28,7 @@
 
 // Quota is the service of an instance that owns the limits of client accounts.
 type Quota interface {
-	// Settle reports what was used of accounts' limits, and asks for more.
+	// Settle reports the use of accounts' limits to their owner and requests tokens.
 	Settle(context.Context, *SettleRequest) (*SettleReply, error)
 }
 
--- a/peer/wire/wire.twirp.go
+++ b/peer/wire/wire.twirp.go
@@ -31,12 +31,13 @@
 // Peers Interface
 // ===============
 
-// Peers is the service that entry instances offer to each other.
+// Peers is the gossip service of entry instances on a platform without a change feed.
 type Peers interface {
-	// Exchange passes on what both sides know of members and configuration.
+	// Exchange sends both sides' members and server states, and returns the configuration changes and the tables
+	// that the caller lacks.
 	Exchange(context.Context, *ExchangeRequest) (*ExchangeReply, error)
 
-	// Report passes measured demand to a relay or to the planner.
+	// Report sends measured demand to a relay or to the candidates for a planner lease.
 	Report(context.Context, *DemandReport) (*ReportReply, error)
 }
 
