--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -9,7 +9,7 @@
 // hashing, or to one alternate server while the home is full or very slow (home.go). Other requests
 // are sent to the server with the least expected completion time, which depends on network distance,
 // queueing, work, speed and recent failures. The share of requests that leaves the region follows
-// that estimate slowly (region.go, spill.go). Requests wait in the queues of the servers, so that
+// that estimate slowly (region.go, spillover.go). Requests wait in the queues of the servers, so that
 // servers are never idle while there is work. A request is refused immediately if no eligible server
 // has room or can answer before the deadline.
 //
