--- a/lovageyardd/daemon.go
+++ b/lovageyardd/daemon.go
@@ -32,7 +32,7 @@
 	"lovageyard.example/lovageyard/timer"
 )
 
-// Limits of the HTTP servers.
+// Limits and timeouts of the HTTP servers and of shutdown.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
--- a/ports.go
+++ b/ports.go
@@ -143,23 +143,26 @@
 	Record(d Decision)
 }
 
-// Decision describes one routing or placement decision with its inputs and its reason.
+// Decision describes one routing or placement decision with its inputs and its reason. Fields that do
+// not apply to its kind are empty.
 type Decision struct {
-	Kind        string
-	Class       string
-	Block       string
-	Home        string
-	Bucket      int
-	Site        string
-	Server      string
-	PlanStep    int64
-	Attempt     int
-	Reason      string
-	Verdict     Verdict
-	Status      int
-	Duration    time.Duration
-	InFlight    int
-	Candidates  int
+	// Kind is route, server, placement or move.
+	Kind       string
+	Class      string
+	Block      string
+	Home       string
+	Bucket     int
+	Site       string
+	Server     string
+	PlanStep   int64
+	Attempt    int
+	Reason     string
+	Verdict    Verdict
+	Status     int
+	Duration   time.Duration
+	InFlight   int
+	Candidates int
+	// Share is the share of the class's traffic, 0 to 1, that still has to move.
 	Share       float64
 	ServerError string
 }
