--- a/link/exchange.go
+++ b/link/exchange.go
@@ -121,7 +121,7 @@
 		framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 		return complete, framed && !response.Close && c.reader.Buffered() == 0, nil
 	}
-	return nil, false, errors.New("answer: only responses to other requests were received")
+	return nil, false, errors.New("answer: only answers to other requests came")
 }
 
 // awaitResponse waits for the first byte of a response.
@@ -146,7 +146,7 @@
 	if n, err := io.Copy(&body, io.LimitReader(response.Body, maxBodyBytes)); err != nil {
 		return nil, errors.Wrap(err, "the answer broke off")
 	} else if n == maxBodyBytes {
-		return nil, errors.New("the response is too long to be kept in memory")
+		return nil, errors.New("the answer is too long to be held")
 	}
 	return &Response{
 		Status: response.StatusCode,
